--- a/bench/claims/main.cpp
+++ b/bench/claims/main.cpp
@@ -1,7 +1,7 @@
 // sedgechute-claims: runs random schedules of faults against several hosts' claims and counts what
 // no caller may meet. Any schedule replays from its seed.
 
-#include "claims_world.hpp"
+#include "claims_simulation.hpp"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/src/claims/impl/answer_store.cpp
+++ b/src/claims/impl/answer_store.cpp
@@ -24,7 +24,7 @@
 
 void answer_store::put(const claim_id& id, const retained_answer& answer) {
   const std::size_t bytes = size_of(id, answer);
-  if (answer.body.size() > largest_ || bytes > bound_)
+  if (answer.body.size() > max_body_bytes_ || bytes > capacity_)
     return;
   const auto [place, is_new] = entries_.try_emplace(id);
   entry& stored = place->second;
@@ -38,7 +38,7 @@
   charge(id.team, bytes, stored.bytes);
   stored.answer = answer;
   stored.bytes = bytes;
-  while (used_ > bound_)
+  while (used_ > capacity_)
     evict_one();
 }
 
@@ -53,15 +53,15 @@
 
 void answer_store::charge(const team_id& team, std::size_t added, std::size_t removed) {
   team_share& share = teams_[team];
-  by_use_.erase({share.bytes, team});
+  teams_by_bytes_.erase({share.bytes, team});
   share.bytes = share.bytes + added - removed;
   used_ = used_ + added - removed;
   if (share.bytes > 0)
-    by_use_.emplace(share.bytes, team);
+    teams_by_bytes_.emplace(share.bytes, team);
 }
 
 void answer_store::evict_one() {
-  const team_id team = by_use_.rbegin()->second;
+  const team_id team = teams_by_bytes_.rbegin()->second;
   team_share& share = teams_[team];
   const claim_id victim = *share.recent.back();
   share.recent.pop_back();
--- a/src/claims/impl/answer_store.hpp
+++ b/src/claims/impl/answer_store.hpp
@@ -30,7 +30,8 @@
  public:
   /// \param bytes  bound on everything stored, overhead included
   /// \param largest  a body longer than this is not kept
-  answer_store(std::size_t bytes, std::size_t largest) : bound_{bytes}, largest_{largest} {}
+  answer_store(std::size_t bytes, std::size_t max_body_bytes)
+      : capacity_{bytes}, max_body_bytes_{max_body_bytes} {}
 
   /// \brief Stores or advances an entry. A complete answer is never replaced by a position, nor a
   /// later attempt's by an earlier one's.
@@ -56,13 +57,13 @@
   void charge(const team_id& team, std::size_t added, std::size_t removed);
   void evict_one();
 
-  std::size_t bound_;
-  std::size_t largest_;
+  std::size_t capacity_;
+  std::size_t max_body_bytes_;
   std::size_t used_{0};
   std::size_t evicted_{0};
   std::unordered_map<claim_id, entry, claim_id_hash> entries_;
   std::map<team_id, team_share> teams_;
-  std::set<std::pair<std::size_t, team_id>> by_use_;
+  std::set<std::pair<std::size_t, team_id>> teams_by_bytes_;
 };
 
 } // namespace sedgechute
--- a/src/claims/impl/claim_entry.cpp
+++ b/src/claims/impl/claim_client.cpp
@@ -1,4 +1,4 @@
-#include "claims/impl/claim_entry.hpp"
+#include "claims/impl/claim_client.hpp"
 
 #include "claims/impl/claim_rules.hpp"
 
@@ -7,17 +7,17 @@
 
 namespace sedgechute {
 
-claim_entry::claim_entry(incarnation self, data_centre_id data_centre,
-                         const claims_options& options, const shard_map& shards,
-                         const host_list& hosts, std::vector<addressed_claims_message>& output,
-                         std::vector<claim_decision>& decisions)
+claim_client::claim_client(incarnation self, data_centre_id data_centre,
+                           const claims_options& options, const shard_map& shards,
+                           const host_list& hosts, std::vector<addressed_claims_message>& output,
+                           std::vector<claim_decision>& decisions)
     : self_{std::move(self)}, data_centre_{std::move(data_centre)}, options_{options},
       shards_{&shards}, hosts_{&hosts}, output_{&output}, decisions_{&decisions},
       answers_{options.answer_bytes, options.max_answer_bytes}, reporter_{options, shards,
                                                                           hosts,   answers_,
                                                                           output,  decisions} {}
 
-std::uint64_t claim_entry::begin(time_ms now, const claimed_request& wanted, bool look_up) {
+std::uint64_t claim_client::begin(time_ms now, const claimed_request& wanted, bool look_up) {
   const std::uint64_t ticket = ++last_ticket_;
   const claim_id id{wanted.team, wanted.key};
   if (const claim* local = running(id)) {
@@ -44,14 +44,14 @@
   return ticket;
 }
 
-void claim_entry::ask(time_ms now, open_request& request) {
+void claim_client::ask(time_ms now, open_request& request) {
   request.next_send = now + options_.resend_interval;
   const shard_status* status = shards_->find(request.shard);
   if (status != nullptr)
     send(status->holder, claim_request{request.subject, request.answer_lost, request.look_up});
 }
 
-void claim_entry::on_reply(time_ms now, const claim_reply& reply) {
+void claim_client::on_reply(time_ms now, const claim_reply& reply) {
   open_request* request = find(reply.ticket);
   const bool granted = reply.verdict == claim_verdict::granted;
   if (request == nullptr && granted)
@@ -65,7 +65,7 @@
   schedule(reply.ticket);
 }
 
-void claim_entry::on_granted(time_ms now, open_request& request, const claim_reply& reply) {
+void claim_client::on_granted(time_ms now, open_request& request, const claim_reply& reply) {
   if (reply.current && !same_request(request.subject, *reply.current))
     return;
   request.subject = granted_claim(request.subject, reply);
@@ -77,7 +77,7 @@
     start_running(now, request);
 }
 
-void claim_entry::on_verdict(time_ms now, open_request& request, const claim_reply& reply) {
+void claim_client::on_verdict(time_ms now, open_request& request, const claim_reply& reply) {
   switch (reply.verdict) {
   case claim_verdict::running:
     // A claim of this host that does not run here is about to start or to be given up.
@@ -107,7 +107,7 @@
   }
 }
 
-void claim_entry::start_running(time_ms now, open_request& request) {
+void claim_client::start_running(time_ms now, open_request& request) {
   const claim& subject = request.subject;
   const bool resume_only = subject.may_have_run && !subject.idempotent;
   if (resume_only && request.position.endpoint.empty()) {
@@ -129,8 +129,8 @@
                                         request.position.position, request.position.run_attempt}});
 }
 
-void claim_entry::progress(time_ms now, std::uint64_t ticket, const endpoint_id& endpoint,
-                           std::uint64_t position, std::uint32_t run_attempt) {
+void claim_client::progress(time_ms now, std::uint64_t ticket, const endpoint_id& endpoint,
+                            std::uint64_t position, std::uint32_t run_attempt) {
   open_request* request = find_running(ticket);
   if (request == nullptr)
     return;
@@ -146,7 +146,7 @@
   send(subject.peer, replica_put{ticket, subject.id, request->position});
 }
 
-void claim_entry::finish_answered(time_ms now, std::uint64_t ticket, retained_answer answer) {
+void claim_client::finish_answered(time_ms now, std::uint64_t ticket, retained_answer answer) {
   open_request* request = find_running(ticket);
   if (request == nullptr)
     return;
@@ -156,7 +156,7 @@
   end(now, *request, request_state::answered);
 }
 
-void claim_entry::finish_unknown(time_ms now, std::uint64_t ticket) {
+void claim_client::finish_unknown(time_ms now, std::uint64_t ticket) {
   const open_request* request = find_running(ticket);
   if (request != nullptr)
     end(now, *request, request_state::abandoned);
@@ -166,7 +166,7 @@
 // For a claim that nobody can have been given besides, that is so from the start. An idempotent
 // request may have been given to another host while this one was paused and believed dead, so the
 // holder and its witness have to confirm that this attempt is still the latest one.
-void claim_entry::finish_refused(time_ms now, std::uint64_t ticket, error_kind kind) {
+void claim_client::finish_refused(time_ms now, std::uint64_t ticket, error_kind kind) {
   const open_request* request = find_running(ticket);
   if (request == nullptr) {
     decisions_->push_back({ticket, refuse_decision{error_kind::outcome_unknown}});
@@ -184,8 +184,8 @@
   }
 }
 
-void claim_entry::end(time_ms now, const open_request& request, request_state state,
-                      std::optional<error_kind> unconfirmed) {
+void claim_client::end(time_ms now, const open_request& request, request_state state,
+                       std::optional<error_kind> unconfirmed) {
   const std::uint64_t ticket = request.subject.ticket;
   ended_claim ended{request.shard, request.subject};
   ended.subject.state = state;
@@ -201,7 +201,7 @@
 
 // The holder may have granted this ticket, or may do so when a late copy of the request arrives.
 // Attempt 0 gives back whatever was granted.
-void claim_entry::end_ungranted(time_ms now, const open_request& request, bool asked) {
+void claim_client::end_ungranted(time_ms now, const open_request& request, bool asked) {
   const std::uint64_t ticket = request.subject.ticket;
   ended_claim ended{request.shard, request.subject};
   ended.subject.attempt = 0;
@@ -213,12 +213,12 @@
     reporter_.add(now, std::move(ended));
 }
 
-void claim_entry::give_up(time_ms now, const open_request& request, error_kind kind) {
+void claim_client::give_up(time_ms now, const open_request& request, error_kind kind) {
   refuse(request, kind);
   end_ungranted(now, request, true);
 }
 
-void claim_entry::schedule(std::uint64_t ticket) {
+void claim_client::schedule(std::uint64_t ticket) {
   open_request* request = find(ticket);
   if (request == nullptr || request->step == phase::running)
     return;
@@ -227,7 +227,7 @@
   due_.add(request->due, ticket);
 }
 
-void claim_entry::tick(time_ms now) {
+void claim_client::tick(time_ms now) {
   while (const auto next = due_.take(now)) {
     open_request* request = find(next->second);
     if (request == nullptr || request->step == phase::running || request->due != next->first)
@@ -238,9 +238,9 @@
   reporter_.tick(now);
 }
 
-void claim_entry::handle_due(time_ms now, open_request& request) {
+void claim_client::handle_due(time_ms now, open_request& request) {
   if (request.step == phase::fetching)
-    conclude_fetch(now, request);
+    finish_fetch(now, request);
   else if (now < request.deadline)
     ask(now, request);
   else
@@ -249,7 +249,7 @@
     give_up(now, request, request.fresh ? error_kind::not_ready : error_kind::outcome_unknown);
 }
 
-void claim_entry::on_new_epoch(time_ms now, const claim_shard& shard, bool is_blank) {
+void claim_client::on_new_epoch(time_ms now, const claim_shard& shard, bool lacks_claims) {
   const shard_status* status = shards_->find(shard);
   for (auto& [ticket, request] : open_) {
     if (request.shard != shard)
@@ -257,33 +257,33 @@
     if (request.step == phase::asking) {
       request.next_send = now;
       schedule(ticket);
-    } else if (request.step == phase::running && is_blank) {
+    } else if (request.step == phase::running && lacks_claims) {
       send(status->holder, claim_report{request.subject});
     }
   }
   reporter_.on_new_epoch(now, shard);
 }
 
-const claim* claim_entry::running(const claim_id& id) const {
+const claim* claim_client::running(const claim_id& id) const {
   const auto found = running_.find(id);
   return found == running_.end() ? nullptr : &open_.at(found->second).subject;
 }
 
-void claim_entry::refuse(const open_request& request, error_kind kind) {
+void claim_client::refuse(const open_request& request, error_kind kind) {
   decisions_->push_back({request.subject.ticket, refuse_decision{kind}});
 }
 
-claim_entry::open_request* claim_entry::find(std::uint64_t ticket) {
+claim_client::open_request* claim_client::find(std::uint64_t ticket) {
   const auto found = open_.find(ticket);
   return found == open_.end() ? nullptr : &found->second;
 }
 
-claim_entry::open_request* claim_entry::find_running(std::uint64_t ticket) {
+claim_client::open_request* claim_client::find_running(std::uint64_t ticket) {
   open_request* request = find(ticket);
   return request != nullptr && request->step == phase::running ? request : nullptr;
 }
 
-void claim_entry::send(const incarnation& to, claims_message message) {
+void claim_client::send(const incarnation& to, claims_message message) {
   output_->push_back({to, std::move(message)});
 }
 
--- a/src/claims/impl/claim_entry.hpp
+++ b/src/claims/impl/claim_client.hpp
@@ -9,12 +9,12 @@
 
 /// \brief What a host does for the requests that arrived at it: asks the holder, waits a bounded
 /// time, runs, and gives up truthfully.
-class claim_entry {
+class claim_client {
  public:
-  claim_entry(incarnation self, data_centre_id data_centre, const claims_options& options,
-              const shard_map& shards, const host_list& hosts,
-              std::vector<addressed_claims_message>& output,
-              std::vector<claim_decision>& decisions);
+  claim_client(incarnation self, data_centre_id data_centre, const claims_options& options,
+               const shard_map& shards, const host_list& hosts,
+               std::vector<addressed_claims_message>& output,
+               std::vector<claim_decision>& decisions);
 
   std::uint64_t begin(time_ms now, const claimed_request& request, bool look_up);
   void progress(time_ms now, std::uint64_t ticket, const endpoint_id& endpoint,
@@ -28,8 +28,8 @@
   void on_replica_fetch(const incarnation& from, const replica_fetch& fetch);
   void on_replica_reply(time_ms now, const replica_reply& reply);
   /// \brief Asks and reports again at once where the shard's holder has changed.
-  /// \param is_blank  the new holder knows nothing of what runs here unless it is told
-  void on_new_epoch(time_ms now, const claim_shard& shard, bool is_blank);
+  /// \param lacks_claims  the new holder knows nothing of what runs here unless it is told
+  void on_new_epoch(time_ms now, const claim_shard& shard, bool lacks_claims);
   void tick(time_ms now);
 
   /// \returns whether nothing is waited for, runs, or is still to be reported
@@ -59,10 +59,10 @@
     std::uint64_t epoch{};
     time_ms deadline; ///< of the present step
     time_ms next_send;
-    time_ms due;                      ///< when this request is looked at next
-    time_ms next_copy;                ///< to the peer, while running
-    retained_answer position;         ///< while running; the found one while fetching
-    std::vector<incarnation> unheard; ///< hosts whose copy is still awaited
+    time_ms due;                       ///< when this request is looked at next
+    time_ms next_copy;                 ///< to the peer, while running
+    retained_answer position;          ///< while running; the found one while fetching
+    std::vector<incarnation> awaiting; ///< hosts whose copy is still awaited
   };
 
   void ask(time_ms now, open_request& request);
@@ -71,7 +71,7 @@
   void on_granted(time_ms now, open_request& request, const claim_reply& reply);
   void on_verdict(time_ms now, open_request& request, const claim_reply& reply);
   void fetch(time_ms now, open_request& request, const std::vector<incarnation>& from);
-  void conclude_fetch(time_ms now, open_request& request);
+  void finish_fetch(time_ms now, open_request& request);
   void start_running(time_ms now, open_request& request);
   void give_up(time_ms now, const open_request& request, error_kind kind);
   void end(time_ms now, const open_request& request, request_state state,
--- a/src/claims/impl/claim_entry_copies.cpp
+++ b/src/claims/impl/claim_client_replicas.cpp
@@ -1,31 +1,31 @@
 // The second copies of answers and places: with which peer they are kept, and how a retry gets
 // them.
 
-#include "claims/impl/claim_entry.hpp"
+#include "claims/impl/claim_client.hpp"
 
 #include <utility>
 
 namespace sedgechute {
 
-void claim_entry::fetch(time_ms now, open_request& request, const std::vector<incarnation>& from) {
+void claim_client::fetch(time_ms now, open_request& request, const std::vector<incarnation>& from) {
   request.step = phase::fetching;
   request.deadline = now + options_.fetch_timeout;
   request.position = {};
-  request.unheard.clear();
+  request.awaiting.clear();
   if (const retained_answer* own = answers_.find(request.subject.id))
     request.position = *own;
   for (const incarnation& host : from)
     if (!request.position.complete && host != self_ && hosts_->is_live(host))
-      request.unheard.push_back(host);
-  if (request.unheard.empty()) {
-    conclude_fetch(now, request);
+      request.awaiting.push_back(host);
+  if (request.awaiting.empty()) {
+    finish_fetch(now, request);
     return;
   }
-  for (const incarnation& host : request.unheard)
+  for (const incarnation& host : request.awaiting)
     send(host, replica_fetch{request.subject.ticket, request.subject.id});
 }
 
-void claim_entry::on_replica_fetch(const incarnation& from, const replica_fetch& fetched) {
+void claim_client::on_replica_fetch(const incarnation& from, const replica_fetch& fetched) {
   replica_reply answer{fetched.ticket, false, {}};
   if (const retained_answer* own = answers_.find(fetched.id)) {
     answer.found = true;
@@ -34,20 +34,20 @@
   send(from, std::move(answer));
 }
 
-void claim_entry::on_replica_reply(time_ms now, const replica_reply& reply) {
+void claim_client::on_replica_reply(time_ms now, const replica_reply& reply) {
   open_request* request = find(reply.ticket);
   if (request == nullptr || request->step != phase::fetching)
     return;
-  if (!request->unheard.empty())
-    request->unheard.pop_back();
+  if (!request->awaiting.empty())
+    request->awaiting.pop_back();
   if (reply.found && !request->position.complete)
     request->position = reply.answer;
-  if (request->position.complete || request->unheard.empty())
-    conclude_fetch(now, *request);
+  if (request->position.complete || request->awaiting.empty())
+    finish_fetch(now, *request);
   schedule(reply.ticket);
 }
 
-void claim_entry::conclude_fetch(time_ms now, open_request& request) {
+void claim_client::finish_fetch(time_ms now, open_request& request) {
   if (request.position.complete) {
     answers_.put(request.subject.id, request.position);
     decisions_->push_back({request.subject.ticket, retained_decision{request.position}});
@@ -72,7 +72,7 @@
   ask(now, request);
 }
 
-void claim_entry::on_replica_put(const incarnation& from, const replica_put& put) {
+void claim_client::on_replica_put(const incarnation& from, const replica_put& put) {
   answers_.put(put.id, put.answer);
   if (put.answer.complete)
     send(from, replica_stored{put.ticket});
@@ -81,7 +81,7 @@
 // A host that hears of the claim anyway is the best peer: what it is sent as peer travels in the
 // messages that it is sent as holder or witness, and if this host dies, the one that decides has
 // the answer as well. Another data centre may be cut off.
-incarnation claim_entry::choose_peer(const claim_id& id, const claim_shard& shard) const {
+incarnation claim_client::choose_peer(const claim_id& id, const claim_shard& shard) const {
   if (const shard_status* status = shards_->find(shard)) {
     const incarnation& involved = status->holder == self_ ? status->witness : status->holder;
     const live_host* host = hosts_->find(involved);
--- a/src/claims/impl/claim_host.hpp
+++ b/src/claims/impl/claim_host.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "claims/impl/claim_entry.hpp"
-#include "claims/impl/claim_keeper.hpp"
+#include "claims/impl/claim_client.hpp"
 #include "claims/impl/delegation_policy.hpp"
+#include "claims/impl/shard_server.hpp"
 
 #include <optional>
 
@@ -19,7 +19,8 @@
 struct claims_statistics {
   std::size_t shards_held{};
   std::size_t shards_witnessed{};
-  std::size_t shards_blind{};          ///< where callers' keys may be answered `outcome unknown`
+  std::size_t
+      shards_with_unknown_claims{};    ///< where callers' keys may be answered `outcome unknown`
   std::size_t shards_without_holder{}; ///< whose holder is not live
   std::size_t stored_claims{};
   std::size_t open_requests{};
@@ -93,7 +94,7 @@
 
  private:
   void deliver(time_ms now, const incarnation& from, const claims_message& message);
-  void deliver_own(time_ms now);
+  void deliver_local(time_ms now);
 
   incarnation self_;
   data_centre_id data_centre_;
@@ -104,10 +105,10 @@
   std::vector<claim_decision> decisions_;
   shard_map shards_;
   host_list hosts_;
-  claim_keeper keeper_;
-  claim_entry entry_;
+  shard_server shard_server_;
+  claim_client client_;
   delegation_policy policy_;
-  time_ms next_sighting_;
+  time_ms next_observation_;
 };
 
 } // namespace sedgechute
--- a/src/claims/impl/claim_key.cpp
+++ b/src/claims/impl/claim_key.cpp
@@ -64,7 +64,7 @@
   if (id.key.starts_with('@') && slash != std::string::npos && slash > 1)
     return {data_centre_id{id.key.substr(1, slash - 1)}, false,
             static_cast<std::uint32_t>(hash % options.shards_per_data_centre)};
-  return {data_centre_id{}, false, static_cast<std::uint32_t>(hash % options.shards_without_home)};
+  return {data_centre_id{}, false, static_cast<std::uint32_t>(hash % options.unpinned_shards)};
 }
 
 std::string shard_name(const claim_shard& shard) {
--- a/src/claims/impl/claim_reporter.cpp
+++ b/src/claims/impl/claim_reporter.cpp
@@ -13,7 +13,7 @@
 // arrives later than this leaves the key claimed by an attempt that never runs: retries are then
 // told `outcome unknown`, which is safe.
 constexpr time_ms late_grant_window{60000};
-constexpr time_ms longest_wait{16000};
+constexpr time_ms max_report_interval{16000};
 
 } // namespace
 
@@ -36,7 +36,7 @@
 
 void claim_reporter::report(time_ms now, entry& ended) {
   ended.next_send = now + ended.wait;
-  ended.wait = std::min(ended.wait * 2, longest_wait);
+  ended.wait = std::min(ended.wait * 2, max_report_interval);
   const claim& subject = ended.request.subject;
   const shard_status* status = shards_->find(ended.request.shard);
   if (!ended.acknowledged && status != nullptr)
@@ -72,7 +72,7 @@
     return;
   found->second.acknowledged = true;
   confirm(found->second, ack.current);
-  settle(ack.ticket);
+  remove_if_done(ack.ticket);
 }
 
 void claim_reporter::confirm(entry& ended, bool current) {
@@ -90,7 +90,7 @@
   if (found == ended_.end())
     return;
   found->second.request.copied = true;
-  settle(stored.ticket);
+  remove_if_done(stored.ticket);
 }
 
 void claim_reporter::on_new_epoch(time_ms now, const claim_shard& shard) {
@@ -103,7 +103,7 @@
   }
 }
 
-void claim_reporter::settle(std::uint64_t ticket) {
+void claim_reporter::remove_if_done(std::uint64_t ticket) {
   entry& ended = ended_.at(ticket);
   if (ended.request.granted && ended.acknowledged && ended.request.copied)
     ended_.erase(ticket);
@@ -144,7 +144,7 @@
   return std::all_of(ended_.begin(), ended_.end(), [&](const auto& item) {
     const entry& ended = item.second;
     return (ended.acknowledged && ended.request.copied) ||
-           last_tick_ - ended.ended >= options_.report_patience;
+           last_tick_ - ended.ended >= options_.report_timeout;
   });
 }
 
--- a/src/claims/impl/claim_reporter.hpp
+++ b/src/claims/impl/claim_reporter.hpp
@@ -40,7 +40,7 @@
   void on_new_epoch(time_ms now, const claim_shard& shard);
   void tick(time_ms now);
 
-  /// \returns whether everything is acknowledged, or has been tried for `report_patience`. What is
+  /// \returns whether everything is acknowledged, or has been tried for `report_timeout`. What is
   /// lost then costs retries an `outcome unknown`, never a second run.
   [[nodiscard]] bool idle() const;
   [[nodiscard]] std::size_t size() const noexcept { return ended_.size(); }
@@ -57,7 +57,7 @@
 
   void report(time_ms now, entry& ended);
   void confirm(entry& ended, bool current);
-  void settle(std::uint64_t ticket);
+  void remove_if_done(std::uint64_t ticket);
   void schedule(entry& ended);
   void handle_due(time_ms now, entry& ended);
 
--- a/src/claims/impl/claim_rules.cpp
+++ b/src/claims/impl/claim_rules.cpp
@@ -21,7 +21,7 @@
   return rank(a) > rank(b);
 }
 
-claim doubted(claim known) {
+claim assume_may_have_run(claim known) {
   known.may_have_run = true;
   if (known.state == request_state::refused)
     known.state = request_state::abandoned;
@@ -88,7 +88,7 @@
 // The attempt was granted under an epoch whose holder and witness are lost, and this holder learns
 // of it from the host that ran it. A later attempt may have been granted there as well.
 report_step adopt(const claim& subject) {
-  return {report_action::propose, doubted(subject)};
+  return {report_action::propose, assume_may_have_run(subject)};
 }
 
 report_step give_up(const claim& subject, const stored_claim& stored) {
@@ -104,7 +104,7 @@
 
 } // namespace
 
-report_step judge_report(const claim& subject, const std::optional<stored_claim>& stored) {
+report_step evaluate_report(const claim& subject, const std::optional<stored_claim>& stored) {
   if (!stored)
     return subject.attempt == 0 ? report_step{report_action::acknowledge, {}, false}
                                 : adopt(subject);
--- a/src/claims/impl/claim_rules.hpp
+++ b/src/claims/impl/claim_rules.hpp
@@ -19,7 +19,7 @@
 
 /// \returns the claim as it must be taken if later attempts may have been granted unnoticed: even
 /// one that was never dispatched doesn't show that none was
-[[nodiscard]] claim doubted(claim known);
+[[nodiscard]] claim assume_may_have_run(claim known);
 
 /// \brief Merges claims of two epochs that did not know of each other. Both may have counted
 /// attempts on their own, so the one that is dropped still counts as a run that may have been.
@@ -53,8 +53,8 @@
 
 /// \param subject  the attempt as its entry host tells it; attempt 0 gives up a ticket
 /// \param stored  what is known under the key
-[[nodiscard]] report_step judge_report(const claim& subject,
-                                       const std::optional<stored_claim>& stored);
+[[nodiscard]] report_step evaluate_report(const claim& subject,
+                                          const std::optional<stored_claim>& stored);
 
 /// \returns the claim that a granted request's reply speaks of
 /// \param asked  as its entry host asked for it
--- a/src/claims/impl/claim_table.cpp
+++ b/src/claims/impl/claim_table.cpp
@@ -62,7 +62,7 @@
   return true;
 }
 
-void claim_table::merge_regained(time_ms now, const claim& subject) {
+void claim_table::merge_recovered(time_ms now, const claim& subject) {
   withdraw(subject.id);
   const auto place = locate(subject.id);
   if (place == claims_.end())
@@ -71,9 +71,9 @@
     store(now, merge_forked(subject, unpack(place->second, subject.id.key, *pool_)));
 }
 
-void claim_table::doubt_all() {
+void claim_table::assume_all_may_have_run() {
   for (auto& [key, packed] : claims_)
-    packed = pack(doubted(unpack(packed, {}, *pool_)), touched_at(packed), *pool_);
+    packed = pack(assume_may_have_run(unpack(packed, {}, *pool_)), touched_at(packed), *pool_);
 }
 
 std::vector<claim> claim_table::committed() const {
@@ -125,7 +125,7 @@
 }
 
 // A whole pass over a large table would keep every request of the host waiting.
-void claim_table::sweep(std::size_t parts, const is_over& over) {
+void claim_table::sweep(std::size_t parts, const expiry_predicate& over) {
   const std::size_t buckets = claims_.bucket_count();
   std::vector<stored_key> forgotten;
   for (std::size_t left = buckets / parts + 1; left > 0; --left) {
--- a/src/claims/impl/claim_table.hpp
+++ b/src/claims/impl/claim_table.hpp
@@ -22,7 +22,7 @@
 class claim_table {
  public:
   /// \brief Decides whether a claim may be forgotten.
-  using is_over = std::function<bool(const stored_key&, const packed_claim&)>;
+  using expiry_predicate = std::function<bool(const stored_key&, const packed_claim&)>;
 
   explicit claim_table(claim_pool& pool) : pool_{&pool} {}
   claim_table(const claim_table&) = delete;
@@ -35,9 +35,9 @@
   /// \returns whether the stored state is now `subject`
   bool merge(time_ms now, const claim& subject);
   /// \brief Takes in a claim of an earlier epoch that this table began without.
-  void merge_regained(time_ms now, const claim& subject);
+  void merge_recovered(time_ms now, const claim& subject);
   /// \brief Later attempts may have been granted that this table doesn't know.
-  void doubt_all();
+  void assume_all_may_have_run();
   /// \returns all claims, their keys as `text_of` writes them: the texts are not stored
   [[nodiscard]] std::vector<claim> committed() const;
 
@@ -51,7 +51,7 @@
   [[nodiscard]] std::vector<proposed_claim> due_proposals(time_ms now, time_ms interval);
 
   /// \brief Looks at the next `1 / parts` of the table and forgets what is over.
-  void sweep(std::size_t parts, const is_over& over);
+  void sweep(std::size_t parts, const expiry_predicate& over);
 
  private:
   struct proposal {
--- a/src/claims/impl/claims_options.hpp
+++ b/src/claims/impl/claims_options.hpp
@@ -9,21 +9,21 @@
 /// \brief Sizes, waits and bounds. The numbers of shards must be the same on all hosts for good:
 /// they decide which holder a key belongs to.
 struct claims_options {
-  std::uint32_t shards_without_home{32};    ///< for callers' keys that name no data centre
+  std::uint32_t unpinned_shards{32};        ///< for callers' keys that name no data centre
   std::uint32_t shards_per_data_centre{16}; ///< for minted keys, and again for `@DATA-CENTRE/` keys
 
   time_ms begin_timeout{1500};  ///< every `begin` ends in a decision after this and `fetch_timeout`
   time_ms fetch_timeout{400};   ///< wait for a copy of an answer
   time_ms resend_interval{150}; ///< of unanswered messages
   time_ms report_interval{500}; ///< of unacknowledged reports and positions
-  time_ms report_patience{30000}; ///< an unacknowledged report holds up a planned stop this long
-  time_ms append_interval{2000};  ///< of records not yet read back
-
-  time_ms settle_time{3000};    ///< after start, before any delegation is proposed
-  time_ms loss_wait{1000};      ///< a host must be missing this long before it is replaced
-  time_ms lone_wait{10000};     ///< the same, where no other host is left to be the witness
-  time_ms both_lost_wait{4000}; ///< holder and witness must be missing this long
-  time_ms blank_interval{
+  time_ms report_timeout{30000}; ///< an unacknowledged report holds up a planned stop this long
+  time_ms append_interval{2000}; ///< of records not yet read back
+
+  time_ms startup_wait{3000};          ///< after start, before any delegation is proposed
+  time_ms replacement_wait{1000};      ///< a host must be missing this long before it is replaced
+  time_ms single_host_wait{10000};     ///< the same, where no other host is left to be the witness
+  time_ms pair_replacement_wait{4000}; ///< holder and witness must be missing this long
+  time_ms empty_epoch_interval{
       30000}; ///< between two epochs of a shard that know nothing of the one before
   time_ms successor_wait{
       10000}; ///< a successor must be seen this long to prove its predecessor's end
--- a/src/claims/impl/claims_record.hpp
+++ b/src/claims/impl/claims_record.hpp
@@ -45,10 +45,10 @@
   incarnation witness;
   std::uint64_t known_since{};
   std::vector<std::uint64_t> rotations; ///< newest marks, oldest first
-  bool blind{};                         ///< claims of a lost epoch may be unknown to the holder
-  std::uint64_t blind_before{};  ///< claims between this epoch and `known_since` may be unknown
+  bool claims_unknown{};                ///< claims of a lost epoch may be unknown to the holder
+  std::uint64_t unknown_from{};  ///< claims between this epoch and `known_since` may be unknown
   std::vector<incarnation> lost; ///< of lost epochs, not yet proven to have ended
-  time_ms blind_since;           ///< local time from which nobody can act under a lost epoch
+  time_ms unknown_since;         ///< local time from which nobody can act under a lost epoch
 
   bool operator==(const shard_status&) const = default;
 };
--- a/src/claims/impl/delegation_policy.cpp
+++ b/src/claims/impl/delegation_policy.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr time_ms consider_interval{200};
+constexpr time_ms evaluation_interval{200};
 
 std::vector<claim_shard> shards_of(const data_centre_id& data_centre,
                                    const claims_options& options) {
   std::vector<claim_shard> shards;
-  for (std::uint32_t i = 0; i < options.shards_without_home; ++i)
+  for (std::uint32_t i = 0; i < options.unpinned_shards; ++i)
     shards.push_back({data_centre_id{}, false, i});
   for (std::uint32_t i = 0; i < options.shards_per_data_centre; ++i) {
     shards.push_back({data_centre, false, i});
@@ -26,26 +26,26 @@
 
 delegation_policy::delegation_policy(incarnation self, data_centre_id data_centre,
                                      const claims_options& options, const shard_map& shards,
-                                     host_list& hosts, claim_keeper& keeper, std::uint64_t seed,
-                                     std::vector<claims_record>& records)
+                                     host_list& hosts, shard_server& server,
+                                     std::uint64_t seed, std::vector<claims_record>& records)
     : self_{std::move(self)}, data_centre_{std::move(data_centre)}, options_{options},
-      shards_{&shards}, hosts_{&hosts}, keeper_{&keeper}, random_{seed}, records_{&records},
-      own_shards_{shards_of(data_centre_, options)} {}
+      shards_{&shards}, hosts_{&hosts}, shard_server_{&server}, random_{seed},
+      records_{&records}, creatable_shards_{shards_of(data_centre_, options)} {}
 
 void delegation_policy::tick(time_ms now) {
-  if (!settled_) {
-    settled_ = now + options_.settle_time;
-    next_balance_ = *settled_ + options_.balance_interval;
+  if (!first_evaluation_) {
+    first_evaluation_ = now + options_.startup_wait;
+    next_balance_ = *first_evaluation_ + options_.balance_interval;
   }
-  if (now < *settled_ || now < next_)
+  if (now < *first_evaluation_ || now < next_evaluation_)
     return;
-  next_ = now + consider_interval;
+  next_evaluation_ = now + evaluation_interval;
   loads_.clear();
-  for (const claim_shard& shard : own_shards_)
+  for (const claim_shard& shard : creatable_shards_)
     if (shards_->find(shard) == nullptr)
-      consider_missing(now, shard);
+      evaluate_unassigned(now, shard);
   for (const auto& [shard, status] : shards_->all())
-    consider(now, status);
+    evaluate_shard(now, status);
   if (now >= next_balance_) {
     const auto interval = static_cast<std::uint64_t>(options_.balance_interval.count());
     // At different times on different hosts, so that each sees what the others have moved.
@@ -55,23 +55,23 @@
   }
 }
 
-void delegation_policy::consider_missing(time_ms now, const claim_shard& shard) {
+void delegation_policy::evaluate_unassigned(time_ms now, const claim_shard& shard) {
   if (draining_ || !is_initiator(shard, shard.data_centre))
     return;
   propose(now, shard, claim_delegation{shard, 0, self_, pick_witness(shard, self_), 0});
 }
 
-void delegation_policy::consider(time_ms now, const shard_status& status) {
+void delegation_policy::evaluate_shard(time_ms now, const shard_status& status) {
   if (same_process(status.holder, self_))
-    consider_as_holder(now, status);
+    evaluate_as_holder(now, status);
   else if (same_process(status.witness, self_))
-    consider_as_witness(now, status);
+    evaluate_as_witness(now, status);
   else
-    consider_lost(now, status);
+    evaluate_lost(now, status);
 }
 
-void delegation_policy::consider_as_holder(time_ms now, const shard_status& status) {
-  if (keeper_->has_lost_track(status.shard)) {
+void delegation_policy::evaluate_as_holder(time_ms now, const shard_status& status) {
+  if (shard_server_->has_log_gap(status.shard)) {
     propose(
         now, status.shard,
         claim_delegation{status.shard, status.epoch, self_, pick_witness(status.shard, self_), 0});
@@ -79,22 +79,22 @@
   }
   if (draining_ && hand_over(now, status))
     return;
-  if (is_gone(now, status.witness, options_.loss_wait) || !is_usable(status.witness)) {
+  if (is_missing(now, status.witness, options_.replacement_wait) || !is_usable(status.witness)) {
     const incarnation witness = pick_witness(status.shard, self_);
     // A holder whose witness is lost grants nothing until it has read of another one. Without any
     // other host it goes on alone.
     const bool alone =
-        hosts_->all().size() <= 1 && is_gone(now, status.witness, options_.lone_wait);
+        hosts_->all().size() <= 1 && is_missing(now, status.witness, options_.single_host_wait);
     if (witness != status.witness && (!witness.host.empty() || alone)) {
       propose(now, status.shard,
               claim_delegation{status.shard, status.epoch, self_, witness, status.known_since});
       return;
     }
   }
-  const std::uint64_t regained = keeper_->regained_since(status.shard);
-  if (regained != 0 && regained < status.known_since) {
+  const std::uint64_t recovered = shard_server_->recovered_since(status.shard);
+  if (recovered != 0 && recovered < status.known_since) {
     propose(now, status.shard,
-            claim_delegation{status.shard, status.epoch, self_, status.witness, regained});
+            claim_delegation{status.shard, status.epoch, self_, status.witness, recovered});
     return;
   }
   rotate_if_due(now, status);
@@ -102,16 +102,17 @@
 
 // The holder may only be paused or cut off from here, so the epoch is sealed first: whatever the
 // holder does when it wakes up, its next claim is refused.
-void delegation_policy::consider_as_witness(time_ms now, const shard_status& status) {
-  if (!keeper_->is_sealed(status.shard)) {
+void delegation_policy::evaluate_as_witness(time_ms now, const shard_status& status) {
+  if (!shard_server_->is_sealed(status.shard)) {
     const bool alone = hosts_->all().size() <= 1;
-    if (!is_gone(now, status.holder, alone ? options_.lone_wait : options_.loss_wait))
+    if (!is_missing(now, status.holder,
+                    alone ? options_.single_host_wait : options_.replacement_wait))
       return;
-    keeper_->seal(status.shard);
+    shard_server_->seal(status.shard);
   }
   const incarnation witness = pick_witness(status.shard, self_);
   const std::uint64_t known_since =
-      keeper_->is_complete(status.shard) ? status.known_since : status.epoch;
+      shard_server_->is_complete(status.shard) ? status.known_since : status.epoch;
   propose(now, status.shard,
           claim_delegation{status.shard, status.epoch, self_, witness, known_since});
 }
@@ -121,15 +122,15 @@
 // be cut off, and their data centre would lose its holder for nothing. It needs a witness, and does
 // not do so again soon, or two parts of a data centre that reach the log but not each other would
 // take the shard from each other for ever. Once both have provably ended, any host may.
-void delegation_policy::consider_lost(time_ms now, const shard_status& status) {
-  const bool both_gone = is_gone(now, status.holder, options_.both_lost_wait) &&
-                         is_gone(now, status.witness, options_.both_lost_wait);
-  if (!both_gone || draining_)
+void delegation_policy::evaluate_lost(time_ms now, const shard_status& status) {
+  const bool both_missing = is_missing(now, status.holder, options_.pair_replacement_wait) &&
+                            is_missing(now, status.witness, options_.pair_replacement_wait);
+  if (!both_missing || draining_)
     return;
   const time_ms age = epoch_age(now, status);
   const bool ended = both_ended(now, status);
-  const bool blank = status.blind && status.known_since == status.epoch;
-  if (!ended && blank && age < options_.blank_interval)
+  const bool is_empty_epoch = status.claims_unknown && status.known_since == status.epoch;
+  if (!ended && is_empty_epoch && age < options_.empty_epoch_interval)
     return;
   data_centre_id among = status.shard.data_centre;
   const data_centre_id* last = hosts_->last_data_centre(status.holder.host);
@@ -163,7 +164,7 @@
 }
 
 bool delegation_policy::hand_over(time_ms now, const shard_status& status) {
-  if (!is_usable(status.witness) || !keeper_->witness_is_complete(status.shard))
+  if (!is_usable(status.witness) || !shard_server_->witness_is_complete(status.shard))
     return false;
   const incarnation witness = pick_witness(status.shard, status.witness);
   propose(now, status.shard,
@@ -178,7 +179,7 @@
     return;
   for (const auto& [shard, status] : shards_->all()) {
     if (status.holder != self_ || !is_usable(status.witness) ||
-        !keeper_->witness_is_complete(shard))
+        !shard_server_->witness_is_complete(shard))
       continue;
     const load theirs = load_of(status.witness);
     if (theirs.holds + 1 < load_of(self_).holds) {
@@ -186,10 +187,10 @@
               claim_delegation{shard, status.epoch, status.witness, self_, status.known_since});
       return;
     }
-    const incarnation lighter = lighter_witness(theirs.sum());
-    if (!lighter.host.empty()) {
+    const incarnation less_loaded = less_loaded_witness(theirs.sum());
+    if (!less_loaded.host.empty()) {
       propose(now, shard,
-              claim_delegation{shard, status.epoch, self_, lighter, status.known_since});
+              claim_delegation{shard, status.epoch, self_, less_loaded, status.known_since});
       return;
     }
   }
@@ -197,8 +198,8 @@
 
 // The loads change with every record that is read, and so does the witness chosen. One that was
 // proposed before is as good while it is there, and the log is spared a record for each change.
-delegation_policy::record_body delegation_policy::settled_on(const proposal& earlier,
-                                                             const record_body& wanted) const {
+delegation_policy::record_body delegation_policy::reuse_witness(const proposal& earlier,
+                                                                const record_body& wanted) const {
   const auto* before = std::get_if<claim_delegation>(&earlier.record.body);
   const auto* now = std::get_if<claim_delegation>(&wanted);
   if (before == nullptr || now == nullptr || !is_usable(before->witness))
@@ -212,7 +213,8 @@
 // appended until the shard's status, read back from the log, has moved on.
 void delegation_policy::propose(time_ms now, const claim_shard& shard, const record_body& wanted) {
   const auto found = proposals_.find(shard);
-  const record_body body = found == proposals_.end() ? wanted : settled_on(found->second, wanted);
+  const record_body body =
+      found == proposals_.end() ? wanted : reuse_witness(found->second, wanted);
   const bool same = found != proposals_.end() && found->second.record.body == body;
   if (same && now < found->second.next_append)
     return;
@@ -259,7 +261,7 @@
 
 // Were it the one with the least to do, every holder with a heavy witness would give it a shard in
 // the same few seconds. It would be the heaviest then, and shards would move for ever.
-incarnation delegation_policy::lighter_witness(std::size_t than) {
+incarnation delegation_policy::less_loaded_witness(std::size_t than) {
   std::vector<const live_host*> possible = possible_witnesses(self_);
   constexpr std::size_t margin = 2; // so that a move never makes the new one the heavier
   std::erase_if(possible,
@@ -282,7 +284,7 @@
   return !chosen.empty() && chosen.front() == self_.host;
 }
 
-bool delegation_policy::is_gone(time_ms now, const incarnation& who, time_ms wait) {
+bool delegation_policy::is_missing(time_ms now, const incarnation& who, time_ms wait) {
   return who.host.empty() || hosts_->missing_for(now, who) >= wait;
 }
 
--- a/src/claims/impl/delegation_policy.hpp
+++ b/src/claims/impl/delegation_policy.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "claims/impl/claim_keeper.hpp"
+#include "claims/impl/shard_server.hpp"
 
 #include <map>
 #include <optional>
@@ -12,7 +12,7 @@
 class delegation_policy {
  public:
   delegation_policy(incarnation self, data_centre_id data_centre, const claims_options& options,
-                    const shard_map& shards, host_list& hosts, claim_keeper& keeper,
+                    const shard_map& shards, host_list& hosts, shard_server& server,
                     std::uint64_t seed, std::vector<claims_record>& records);
 
   void tick(time_ms now);
@@ -36,24 +36,24 @@
     [[nodiscard]] std::size_t sum() const noexcept { return holds + witnesses; }
   };
 
-  void consider_missing(time_ms now, const claim_shard& shard);
-  void consider(time_ms now, const shard_status& status);
-  void consider_as_holder(time_ms now, const shard_status& status);
-  void consider_as_witness(time_ms now, const shard_status& status);
-  void consider_lost(time_ms now, const shard_status& status);
+  void evaluate_unassigned(time_ms now, const claim_shard& shard);
+  void evaluate_shard(time_ms now, const shard_status& status);
+  void evaluate_as_holder(time_ms now, const shard_status& status);
+  void evaluate_as_witness(time_ms now, const shard_status& status);
+  void evaluate_lost(time_ms now, const shard_status& status);
   void rotate_if_due(time_ms now, const shard_status& status);
   [[nodiscard]] bool both_ended(time_ms now, const shard_status& status) const;
   [[nodiscard]] time_ms epoch_age(time_ms now, const shard_status& status);
   void balance(time_ms now);
   bool hand_over(time_ms now, const shard_status& status);
   void propose(time_ms now, const claim_shard& shard, const record_body& wanted);
-  [[nodiscard]] record_body settled_on(const proposal& earlier, const record_body& wanted) const;
+  [[nodiscard]] record_body reuse_witness(const proposal& earlier, const record_body& wanted) const;
   [[nodiscard]] incarnation pick_witness(const claim_shard& shard, const incarnation& holder);
   /// \returns a host with less to do than `than` roles, an empty one if there is none
-  [[nodiscard]] incarnation lighter_witness(std::size_t than);
+  [[nodiscard]] incarnation less_loaded_witness(std::size_t than);
   [[nodiscard]] std::vector<const live_host*> possible_witnesses(const incarnation& holder) const;
   [[nodiscard]] bool is_initiator(const claim_shard& shard, const data_centre_id& among) const;
-  [[nodiscard]] bool is_gone(time_ms now, const incarnation& who, time_ms wait);
+  [[nodiscard]] bool is_missing(time_ms now, const incarnation& who, time_ms wait);
   [[nodiscard]] bool is_usable(const incarnation& who) const;
   [[nodiscard]] load load_of(const incarnation& who);
 
@@ -62,16 +62,16 @@
   claims_options options_;
   const shard_map* shards_;
   host_list* hosts_;
-  claim_keeper* keeper_;
+  shard_server* shard_server_;
   random_source random_;
   std::vector<claims_record>* records_;
-  std::vector<claim_shard> own_shards_; ///< those that a host of this data centre may begin
+  std::vector<claim_shard> creatable_shards_; ///< those that a host of this data centre may begin
   std::map<claim_shard, proposal> proposals_;
   std::map<incarnation, load> loads_; ///< of this tick, empty until asked for
   std::map<claim_shard, seen_number> marks_;
   std::map<claim_shard, seen_number> epochs_;
-  std::optional<time_ms> settled_;
-  time_ms next_;
+  std::optional<time_ms> first_evaluation_;
+  time_ms next_evaluation_;
   time_ms next_balance_;
   bool draining_{false};
 };
--- a/src/claims/impl/forward_declarations.hpp
+++ b/src/claims/impl/forward_declarations.hpp
@@ -24,7 +24,7 @@
 class claim_table;
 class shard_role;
 class delegation_policy;
-class claim_entry;
+class claim_client;
 class claim_host;
 
 } // namespace sedgechute
--- a/src/claims/impl/host_list.cpp
+++ b/src/claims/impl/host_list.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t most_missing = 4096;
+constexpr std::size_t max_missing = 4096;
 
 bool comes_before(const incarnation& a, const incarnation& b) {
   return std::tie(a.number, a.host) < std::tie(b.number, b.host);
@@ -21,12 +21,12 @@
             [](const live_host& a, const live_host& b) { return comes_before(a.who, b.who); });
   hosts_.swap(sorted);
   for (const live_host& host : hosts_)
-    places_[host.who.host] = host.data_centre;
+    data_centres_[host.who.host] = host.data_centre;
   for (const live_host& old : sorted)
     if (!is_live(old.who))
       missing_.emplace(old.who, now);
   std::erase_if(missing_, [&](const auto& entry) { return is_live(entry.first); });
-  while (missing_.size() > most_missing)
+  while (missing_.size() > max_missing)
     missing_.erase(missing_.begin());
 }
 
@@ -39,8 +39,8 @@
 }
 
 const data_centre_id* host_list::last_data_centre(const host_id& host) const {
-  const auto found = places_.find(host);
-  return found == places_.end() ? nullptr : &found->second;
+  const auto found = data_centres_.find(host);
+  return found == data_centres_.end() ? nullptr : &found->second;
 }
 
 time_ms host_list::missing_for(time_ms now, const incarnation& who) {
--- a/src/claims/impl/host_list.hpp
+++ b/src/claims/impl/host_list.hpp
@@ -23,7 +23,7 @@
  private:
   std::vector<live_host> hosts_; ///< ordered by incarnation
   std::map<incarnation, time_ms> missing_;
-  std::map<host_id, data_centre_id> places_;
+  std::map<host_id, data_centre_id> data_centres_;
 };
 
 } // namespace sedgechute
--- a/src/claims/impl/message_bundles.cpp
+++ b/src/claims/impl/message_bundles.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 // Four small messages of at most about 250 bytes fit a datagram that no network has to cut.
-constexpr std::size_t most_body_bytes = 200;
+constexpr std::size_t max_small_body_bytes = 200;
 
 bool is_small(const claims_message& message) {
   if (const auto* put = std::get_if<replica_put>(&message))
-    return put->answer.body.size() <= most_body_bytes;
+    return put->answer.body.size() <= max_small_body_bytes;
   if (const auto* fetched = std::get_if<replica_reply>(&message))
-    return fetched->answer.body.size() <= most_body_bytes;
+    return fetched->answer.body.size() <= max_small_body_bytes;
   return !std::holds_alternative<table_part>(message);
 }
 
--- a/src/claims/impl/packed_claim.cpp
+++ b/src/claims/impl/packed_claim.cpp
@@ -15,9 +15,9 @@
   packed.fingerprint = unpacked.fingerprint;
   packed.ticket = unpacked.ticket;
   packed.touched_s = static_cast<std::uint32_t>((touched.count() + ms_per_s - 1) / ms_per_s);
-  packed.team = pool.teams.number_of(unpacked.id.team);
-  packed.entry = pool.hosts.number_of(unpacked.entry);
-  packed.peer = pool.hosts.number_of(unpacked.peer);
+  packed.team = pool.teams.intern(unpacked.id.team);
+  packed.entry = pool.hosts.intern(unpacked.entry);
+  packed.peer = pool.hosts.intern(unpacked.peer);
   packed.attempt = unpacked.attempt;
   packed.state = static_cast<std::uint8_t>(unpacked.state);
   packed.idempotent = unpacked.idempotent;
@@ -25,9 +25,9 @@
   if (unpacked.resume_from.host.empty() && unpacked.unfinished.empty())
     return packed;
   packed.earlier = std::make_unique<earlier_attempts>();
-  packed.earlier->resume_from = pool.hosts.number_of(unpacked.resume_from);
+  packed.earlier->resume_from = pool.hosts.intern(unpacked.resume_from);
   for (const incarnation& who : unpacked.unfinished)
-    packed.earlier->unfinished.push_back(pool.hosts.number_of(who));
+    packed.earlier->unfinished.push_back(pool.hosts.intern(who));
   return packed;
 }
 
--- a/src/claims/impl/packed_claim.hpp
+++ b/src/claims/impl/packed_claim.hpp
@@ -11,9 +11,9 @@
 
 /// \brief Small numbers for names that occur in many claims.
 template <typename Name>
-class name_numbers {
+class name_interner {
  public:
-  [[nodiscard]] std::uint32_t number_of(const Name& name) {
+  [[nodiscard]] std::uint32_t intern(const Name& name) {
     const auto [place, is_new] =
         numbers_.try_emplace(name, static_cast<std::uint32_t>(names_.size()));
     if (is_new)
@@ -40,8 +40,8 @@
 
 /// \brief What the tables of a host share: names, and counts for the bounds.
 struct claim_pool {
-  name_numbers<team_id> teams;
-  name_numbers<incarnation> hosts;
+  name_interner<team_id> teams;
+  name_interner<incarnation> hosts;
   std::vector<std::size_t> claims_by_team; ///< indexed by the team's number
   std::size_t claims{0};
 };
--- a/src/claims/impl/relinquished_tables.cpp
+++ b/src/claims/impl/relinquished_tables.cpp
@@ -29,17 +29,18 @@
     note_ack(found->second, ack);
 }
 
-void relinquished_tables::drop_useless(time_ms now, const shard_map& shards) {
-  std::erase_if(
-      tables_, [&](const auto& entry) { return !shards.is_blind(now, *shards.find(entry.first)); });
+void relinquished_tables::drop_unneeded(time_ms now, const shard_map& shards) {
+  std::erase_if(tables_, [&](const auto& entry) {
+    return !shards.has_unknown_claims(now, *shards.find(entry.first));
+  });
 }
 
 void relinquished_tables::send_due(time_ms now, time_ms interval, const shard_map& shards,
-                                   transfer_allowance& allowance,
+                                   transfer_rate_limiter& limiter,
                                    std::vector<addressed_claims_message>& output) {
   for (auto& [shard, transfer] : tables_) {
     const shard_status& status = *shards.find(shard);
-    for (table_part& part : due_parts(transfer, now, interval, shard, status.epoch, allowance))
+    for (table_part& part : due_parts(transfer, now, interval, shard, status.epoch, limiter))
       output.push_back({status.holder, std::move(part)});
   }
 }
--- a/src/claims/impl/relinquished_tables.hpp
+++ b/src/claims/impl/relinquished_tables.hpp
@@ -18,10 +18,10 @@
   void on_delegation(const incarnation& self, const shard_status& after);
   void on_ack(const table_part_ack& ack);
   /// \brief Drops tables that nobody waits for any more.
-  void drop_useless(time_ms now, const shard_map& shards);
+  void drop_unneeded(time_ms now, const shard_map& shards);
   /// \brief Appends the messages that are due.
   void send_due(time_ms now, time_ms interval, const shard_map& shards,
-                transfer_allowance& allowance, std::vector<addressed_claims_message>& output);
+                transfer_rate_limiter& limiter, std::vector<addressed_claims_message>& output);
 
  private:
   std::map<claim_shard, table_transfer> tables_;
--- a/src/claims/impl/shard_map.cpp
+++ b/src/claims/impl/shard_map.cpp
@@ -23,10 +23,10 @@
   const bool knows_all =
       delegation.known_since != 0 && delegation.known_since <= status.known_since;
   if (current != 0 && !knows_all) {
-    if (!status.blind)
-      status.blind_before = status.known_since;
-    status.blind = true;
-    status.blind_since = now;
+    if (!status.claims_unknown)
+      status.unknown_from = status.known_since;
+    status.claims_unknown = true;
+    status.unknown_since = now;
     // Both were only believed to be lost. Cut off from the log, they may still claim keys under
     // their epoch; until they are proven to have ended the new holder can't know which.
     const bool sealed = delegation.holder == status.witness || delegation.holder == status.holder;
@@ -37,8 +37,8 @@
   }
   // The holder has got the table of an earlier epoch from a host that was wrongly believed to be
   // lost and has stopped acting under it, so nothing is unknown any more.
-  if (knows_all && status.blind && delegation.known_since <= status.blind_before) {
-    status.blind = false;
+  if (knows_all && status.claims_unknown && delegation.known_since <= status.unknown_from) {
+    status.claims_unknown = false;
     status.lost.clear();
   }
   status.shard = delegation.shard;
@@ -68,14 +68,14 @@
 }
 
 template <typename Ended>
-void shard_map::forget_lost(time_ms now, const Ended& has_ended) {
+void shard_map::erase_ended(time_ms now, const Ended& has_ended) {
   for (auto& [shard, status] : shards_)
     if (!status.lost.empty() && std::erase_if(status.lost, has_ended) > 0)
-      status.blind_since = now;
+      status.unknown_since = now;
 }
 
 void shard_map::note_ended(time_ms now, const incarnation& who) {
-  forget_lost(now, [&](const incarnation& lost) { return lost == who; });
+  erase_ended(now, [&](const incarnation& lost) { return lost == who; });
 }
 
 // A host can be lost more than once, so a late message about an earlier epoch proves nothing.
@@ -85,7 +85,7 @@
   if (found == shards_.end() || found->second.epoch != epoch)
     return;
   if (std::erase(found->second.lost, who) > 0)
-    found->second.blind_since = now;
+    found->second.unknown_since = now;
 }
 
 // Stale gossip can show an old incarnation for a moment, so a successor counts only after a while.
@@ -97,17 +97,17 @@
         return before != running_.end() && before->second.number == host.who.number;
       });
   if (unchanged) {
-    forget_lost(now, [&](const incarnation& lost) { return has_ended(now, lost); });
+    erase_ended(now, [&](const incarnation& lost) { return has_ended(now, lost); });
     return;
   }
-  std::map<host_id, sighting> seen;
+  std::map<host_id, observed_incarnation> seen;
   for (const live_host& host : hosts) {
     const auto before = running_.find(host.who.host);
     const bool same = before != running_.end() && before->second.number == host.who.number;
-    seen[host.who.host] = same ? before->second : sighting{host.who.number, now};
+    seen[host.who.host] = same ? before->second : observed_incarnation{host.who.number, now};
   }
   running_ = std::move(seen);
-  forget_lost(now, [&](const incarnation& lost) { return has_ended(now, lost); });
+  erase_ended(now, [&](const incarnation& lost) { return has_ended(now, lost); });
 }
 
 bool shard_map::has_ended(time_ms now, const incarnation& who) const {
@@ -116,10 +116,10 @@
          now - successor->second.since >= options_.successor_wait;
 }
 
-bool shard_map::is_blind(time_ms now, const shard_status& status) const {
-  if (!status.blind)
+bool shard_map::has_unknown_claims(time_ms now, const shard_status& status) const {
+  if (!status.claims_unknown)
     return false;
-  return !status.lost.empty() || now - status.blind_since < options_.retention;
+  return !status.lost.empty() || now - status.unknown_since < options_.retention;
 }
 
 std::uint64_t shard_map::oldest_mark(const shard_status& status) const {
@@ -139,7 +139,7 @@
     shard_status& restored = shards_[status.shard];
     restored = status;
     // The instant was another host's; counting from now only lengthens the wait.
-    restored.blind_since = now;
+    restored.unknown_since = now;
   }
 }
 
--- a/src/claims/impl/shard_map.hpp
+++ b/src/claims/impl/shard_map.hpp
@@ -31,7 +31,7 @@
   /// \returns whether a successor proves that `who` can do nothing any more
   [[nodiscard]] bool has_ended(time_ms now, const incarnation& who) const;
   /// \returns whether callers' keys that are not known here may have been claimed before
-  [[nodiscard]] bool is_blind(time_ms now, const shard_status& status) const;
+  [[nodiscard]] bool has_unknown_claims(time_ms now, const shard_status& status) const;
   /// \returns the mark below which minted keys have expired
   [[nodiscard]] std::uint64_t oldest_mark(const shard_status& status) const;
 
@@ -42,15 +42,15 @@
   bool apply_delegation(time_ms now, std::uint64_t offset, const claim_delegation& delegation);
   bool apply_rotation(std::uint64_t offset, const claim_rotation& rotation);
   template <typename Ended>
-  void forget_lost(time_ms now, const Ended& has_ended);
+  void erase_ended(time_ms now, const Ended& has_ended);
 
-  struct sighting {
+  struct observed_incarnation {
     std::uint64_t number;
     time_ms since;
   };
 
   claims_options options_;
-  std::map<host_id, sighting> running_;
+  std::map<host_id, observed_incarnation> running_;
   std::map<claim_shard, shard_status> shards_;
 };
 
--- a/src/claims/impl/claim_keeper.hpp
+++ b/src/claims/impl/shard_server.hpp
@@ -15,9 +15,9 @@
 /// Invariant: the holder tells nobody of a change before the witness of the same epoch has stored
 /// it, and a witness that has sealed an epoch stores nothing more under it. So a witness that takes
 /// over knows every attempt that can ever be dispatched under the sealed epoch.
-class claim_keeper {
+class shard_server {
  public:
-  claim_keeper(incarnation self, const claims_options& options, shard_map& shards,
+  shard_server(incarnation self, const claims_options& options, shard_map& shards,
                const host_list& hosts, std::vector<addressed_claims_message>& output);
 
   /// \brief Takes up or gives up roles after the shard's status changed.
@@ -45,30 +45,30 @@
   [[nodiscard]] bool witness_is_complete(const claim_shard& shard) const;
   /// \returns since when this holder knows all claims, thanks to a table of an earlier epoch that
   /// it and its witness now have; 0 if there was none
-  [[nodiscard]] std::uint64_t regained_since(const claim_shard& shard) const;
+  [[nodiscard]] std::uint64_t recovered_since(const claim_shard& shard) const;
   /// \returns whether this host holds the shard but may lack claims, so that it needs a new epoch
-  [[nodiscard]] bool has_lost_track(const claim_shard& shard) const;
+  [[nodiscard]] bool has_log_gap(const claim_shard& shard) const;
   [[nodiscard]] bool is_sealed(const claim_shard& shard) const;
   /// \returns the countersigned claim under a key, if this host keeps it
   [[nodiscard]] std::optional<claim> find(const claim_shard& shard, const claim_id& id) const;
   [[nodiscard]] std::size_t stored_claims() const noexcept { return pool_.claims; }
 
  private:
-  struct kept_shard {
-    explicit kept_shard(claim_pool& pool) : table{pool} {}
+  struct local_shard {
+    explicit local_shard(claim_pool& pool) : table{pool} {}
     claim_table table;
     std::uint64_t sealed{};     ///< epoch under which this host countersigns nothing more
     bool complete{};            ///< as witness: all parts of the holder's table arrived
     arriving_table from_holder; ///< as new witness
-    bool lost_track{};          ///< as holder: claims may have been granted unnoticed
-    bool refused{};             ///< as holder: the witness has sealed this epoch
+    bool log_gap{};             ///< as holder: claims may have been granted unnoticed
+    bool witness_sealed{};      ///< as holder: the witness has sealed this epoch
     table_transfer to_witness;  ///< as holder
-    std::map<incarnation, arriving_table> regained; ///< as holder: tables of an earlier epoch
-    std::uint64_t regained_since{}; ///< as holder: what a regained table makes known, 0 if none
+    std::map<incarnation, arriving_table> recovered; ///< as holder: tables of an earlier epoch
+    std::uint64_t recovered_since{}; ///< as holder: what a regained table makes known, 0 if none
   };
 
-  [[nodiscard]] const shard_status* held(const claim_shard& shard) const;
-  [[nodiscard]] kept_shard& keep(const claim_shard& shard);
+  [[nodiscard]] const shard_status* find_held(const claim_shard& shard) const;
+  [[nodiscard]] local_shard& local_shard_for(const claim_shard& shard);
   void propose(time_ms now, const shard_status& status, const claim& next);
   void ask_witness(time_ms now, const shard_status& status, const proposed_claim& wanted);
   // The claim by value: committing removes the proposal that it may be a part of.
@@ -76,10 +76,10 @@
   void reply(const claim_request& request, const shard_status& status, claim_verdict verdict,
              const std::optional<stored_claim>& stored);
   void relinquish(const shard_status& before, const shard_status& after);
-  void tell_stopped(const shard_status& status);
-  void accept_regained(time_ms now, const incarnation& from, const shard_status& status,
-                       const table_part& part);
-  void forget_expired(time_ms now, const shard_status& status, kept_shard& kept);
+  void send_epoch_seen(const shard_status& status);
+  void accept_recovered(time_ms now, const incarnation& from, const shard_status& status,
+                        const table_part& part);
+  void forget_expired(time_ms now, const shard_status& status, local_shard& local);
   [[nodiscard]] bool has_room(const team_id& team) const;
   void send(const incarnation& to, claims_message message);
 
@@ -89,9 +89,9 @@
   const host_list* hosts_;
   std::vector<addressed_claims_message>* output_;
   claim_pool pool_;
-  std::map<claim_shard, kept_shard> kept_;
+  std::map<claim_shard, local_shard> local_shards_;
   relinquished_tables relinquished_;
-  transfer_allowance allowance_;
+  transfer_rate_limiter transfer_limiter_;
   time_ms next_cleanup_;
   time_ms next_sweep_;
   std::uint64_t last_transfer_{0};
--- a/src/claims/impl/table_transfer.cpp
+++ b/src/claims/impl/table_transfer.cpp
@@ -43,7 +43,7 @@
       std::vector<claim>{}.swap(transfer.parts[part]);
 }
 
-void transfer_allowance::refill(time_ms now) {
+void transfer_rate_limiter::refill(time_ms now) {
   constexpr std::int64_t ms_per_s = 1000;
   const std::int64_t passed = std::min((now - refilled_).count(), ms_per_s);
   const std::int64_t added = per_s_ * passed / ms_per_s;
@@ -55,16 +55,16 @@
 
 std::vector<table_part> due_parts(table_transfer& transfer, time_ms now, time_ms interval,
                                   const claim_shard& shard, std::uint64_t epoch,
-                                  transfer_allowance& allowance) {
+                                  transfer_rate_limiter& limiter) {
   std::vector<table_part> due;
   if (now - transfer.sent < interval)
     return due;
   const auto parts = static_cast<std::uint32_t>(transfer.parts.size());
   for (std::uint32_t part = 0; part < parts && due.size() < parts_in_flight; ++part)
-    if (!transfer.acknowledged[part] && !allowance.is_spent()) {
+    if (!transfer.acknowledged[part] && !limiter.is_spent()) {
       due.push_back({shard, epoch, transfer.known_since, transfer.until, transfer.number, part,
                      parts, transfer.parts[part]});
-      allowance.spend(transfer.parts[part].size());
+      limiter.spend(transfer.parts[part].size());
     }
   if (!due.empty())
     transfer.sent = now;
--- a/src/claims/impl/table_transfer.hpp
+++ b/src/claims/impl/table_transfer.hpp
@@ -34,9 +34,9 @@
 
 /// \brief How many claims a host may send in tables, so that the loss of another host doesn't fill
 /// its network.
-class transfer_allowance {
+class transfer_rate_limiter {
  public:
-  explicit transfer_allowance(std::int64_t claims_per_s) : per_s_{claims_per_s} {}
+  explicit transfer_rate_limiter(std::int64_t claims_per_s) : per_s_{claims_per_s} {}
 
   /// \brief Adds what the time since the last call allows, for at most one second.
   void refill(time_ms now);
@@ -53,7 +53,8 @@
 /// `interval` has passed
 [[nodiscard]] std::vector<table_part> due_parts(table_transfer& transfer, time_ms now,
                                                 time_ms interval, const claim_shard& shard,
-                                                std::uint64_t epoch, transfer_allowance& allowance);
+                                                std::uint64_t epoch,
+                                                transfer_rate_limiter& limiter);
 
 /// \returns whether the table is complete with this part
 [[nodiscard]] bool note_arrival(arriving_table& arriving, const table_part& part);
--- a/src/membership/impl/member_table.cpp
+++ b/src/membership/impl/member_table.cpp
@@ -17,8 +17,8 @@
   return update.state > known.state;
 }
 
-member as_member(const member_update& about) {
-  return {about.who, about.data_centre, about.address, about.state, about.leaving};
+member as_member(const member_update& latest) {
+  return {latest.who, latest.data_centre, latest.address, latest.state, latest.leaving};
 }
 
 } // namespace
@@ -27,7 +27,7 @@
                            std::uint64_t seed)
     : self_{std::move(self)}, options_{options}, random_{seed} {}
 
-void member_table::merge(time_ms now, const member_update& update, bool spread_news) {
+void member_table::merge(time_ms now, const member_update& update, bool disseminate) {
   if (!started_known_) {
     started_ = now;
     started_known_ = true;
@@ -48,7 +48,7 @@
   if (known != records_.end())
     apply(now, known->second, believed);
   else if (believed.state != member_state::dead || predecessor)
-    add(now, believed, spread_news);
+    add(now, believed, disseminate);
 }
 
 void member_table::refute(const member_update& update) {
@@ -57,18 +57,18 @@
       self_.state == member_state::dead)
     return;
   self_.version = update.version + 1;
-  spread_self();
+  enqueue_self();
 }
 
-void member_table::add(time_ms now, const member_update& update, bool spread_news) {
+void member_table::add(time_ms now, const member_update& update, bool disseminate) {
   record& added = records_[update.who];
-  added.about = update;
+  added.latest = update;
   added.since = now;
-  if (spread_news)
-    spread(added);
+  if (disseminate)
+    enqueue(added);
   if (update.state == member_state::dead)
     return;
-  insert_into_order(update.who);
+  insert_into_probe_order(update.who);
   if (update.state == member_state::suspect)
     suspects_.push_back(update.who);
   view_changed_ = true;
@@ -78,33 +78,34 @@
 // The numbers of incarnations are random, so they don't tell which of two is the newer one. Both
 // are probed: the running one refutes, the other can't.
 void member_table::suspect_other_incarnations(time_ms now, const incarnation& who) {
-  for (auto it = first_of(who.host); it != records_.end() && it->first.host == who.host; ++it)
+  for (auto it = first_record_of(who.host); it != records_.end() && it->first.host == who.host;
+       ++it)
     if (it->first != who)
       suspect(now, it->first);
 }
 
 void member_table::apply(time_ms now, record& known, const member_update& update) {
-  if (update.leaving && !known.about.leaving) {
-    known.about.leaving = true;
+  if (update.leaving && !known.latest.leaving) {
+    known.latest.leaving = true;
     view_changed_ = true;
-    spread(known);
+    enqueue(known);
   }
-  if (!is_newer(update, known.about))
+  if (!is_newer(update, known.latest))
     return;
-  known.about.version = update.version;
-  if (known.about.address != update.address) {
-    known.about.address = update.address;
+  known.latest.version = update.version;
+  if (known.latest.address != update.address) {
+    known.latest.address = update.address;
     view_changed_ = true;
   }
   set_state(now, known, update.state);
-  spread(known);
+  enqueue(known);
 }
 
 void member_table::set_state(time_ms now, record& known, member_state state) {
-  const member_state before = std::exchange(known.about.state, state);
+  const member_state before = std::exchange(known.latest.state, state);
   if (before == state)
     return;
-  const incarnation& who = known.about.who;
+  const incarnation& who = known.latest.who;
   known.since = now;
   view_changed_ = true;
   if (before == member_state::suspect)
@@ -112,36 +113,36 @@
   if (state == member_state::suspect)
     suspects_.push_back(who);
   if (before == member_state::dead)
-    insert_into_order(who);
+    insert_into_probe_order(who);
   if (state == member_state::dead)
-    std::erase(order_, who);
+    std::erase(probe_order_, who);
 }
 
 void member_table::suspect(time_ms now, const incarnation& who) {
   const auto known = records_.find(who);
-  if (known == records_.end() || known->second.about.state != member_state::alive)
+  if (known == records_.end() || known->second.latest.state != member_state::alive)
     return;
   set_state(now, known->second, member_state::suspect);
-  spread(known->second);
+  enqueue(known->second);
 }
 
 void member_table::declare_dead(time_ms now, const incarnation& who) {
   const auto known = records_.find(who);
-  if (known == records_.end() || known->second.about.state == member_state::dead)
+  if (known == records_.end() || known->second.latest.state == member_state::dead)
     return;
   set_state(now, known->second, member_state::dead);
-  spread(known->second);
+  enqueue(known->second);
 }
 
 void member_table::mark_leaving(const host_id& host) {
   for (auto it = records_.lower_bound({host, 0}); it != records_.end() && it->first.host == host;
        ++it) {
-    member_update& about = it->second.about;
-    if (about.leaving || about.state == member_state::dead)
+    member_update& latest = it->second.latest;
+    if (latest.leaving || latest.state == member_state::dead)
       continue;
-    about.leaving = true;
+    latest.leaving = true;
     view_changed_ = true;
-    spread(it->second);
+    enqueue(it->second);
   }
 }
 
@@ -150,14 +151,14 @@
     return;
   self_.leaving = true;
   view_changed_ = true;
-  spread_self();
+  enqueue_self();
 }
 
 void member_table::stop() {
   leave();
   self_.state = member_state::dead;
   view_changed_ = true;
-  spread_self();
+  enqueue_self();
 }
 
 void member_table::expire(time_ms now) {
@@ -173,7 +174,7 @@
   next_cleanup_ = now + cleanup_period;
   std::erase_if(records_, [&](const auto& entry) {
     const record& known = entry.second;
-    return known.about.state == member_state::dead && !known.queued &&
+    return known.latest.state == member_state::dead && !known.queued &&
            now - known.since > options_.tombstone_time;
   });
 }
@@ -187,49 +188,51 @@
   if (who == self_.who)
     return &self_;
   const auto known = records_.find(who);
-  return known == records_.end() ? nullptr : &known->second.about;
+  return known == records_.end() ? nullptr : &known->second.latest;
 }
 
 bool member_table::host_is_live(const host_id& host) const {
   if (host == self_.who.host)
     return true;
-  for (auto it = first_of(host); it != records_.end() && it->first.host == host; ++it)
-    if (it->second.about.state != member_state::dead)
+  for (auto it = first_record_of(host); it != records_.end() && it->first.host == host; ++it)
+    if (it->second.latest.state != member_state::dead)
       return true;
   return false;
 }
 
-std::vector<member_update> member_table::deaths_of(const host_id& host) const {
-  std::vector<member_update> deaths;
-  for (auto it = first_of(host); it != records_.end() && it->first.host == host; ++it)
-    if (it->second.about.state == member_state::dead && deaths.size() < max_gossip_updates)
-      deaths.push_back(it->second.about);
-  return deaths;
+std::vector<member_update> member_table::dead_incarnations_of(const host_id& host) const {
+  std::vector<member_update> dead_incarnations;
+  for (auto it = first_record_of(host); it != records_.end() && it->first.host == host; ++it)
+    if (it->second.latest.state == member_state::dead &&
+        dead_incarnations.size() < max_gossip_updates)
+      dead_incarnations.push_back(it->second.latest);
+  return dead_incarnations;
 }
 
 std::vector<member_update> member_table::live_updates() const {
   std::vector<member_update> live;
-  live.reserve(order_.size());
-  for (const incarnation& who : order_)
-    live.push_back(records_.at(who).about);
+  live.reserve(probe_order_.size());
+  for (const incarnation& who : probe_order_)
+    live.push_back(records_.at(who).latest);
   return live;
 }
 
-std::vector<member_update> member_table::take_news(std::size_t count) {
+std::vector<member_update> member_table::take_outgoing_updates(std::size_t count) {
   if (self_sends_left_ > 0)
     --self_sends_left_;
   std::vector<member_update> taken;
-  std::vector<record*> passed_on;
-  for (auto next = news_.begin(); next != news_.end() && taken.size() < count; ++next) {
+  std::vector<record*> sent;
+  for (auto next = outgoing_updates_.begin();
+       next != outgoing_updates_.end() && taken.size() < count; ++next) {
     record& known = records_.at(next->second);
-    taken.push_back(known.about);
-    passed_on.push_back(&known);
+    taken.push_back(known.latest);
+    sent.push_back(&known);
   }
-  for (record* known : passed_on) {
+  for (record* known : sent) {
     const std::uint32_t sends = (*known->queued)->first + 1;
-    end_news(*known);
-    if (sends < sends_per_news())
-      known->queued = news_.emplace(sends, known->about.who);
+    dequeue(*known);
+    if (sends < sends_per_update())
+      known->queued = outgoing_updates_.emplace(sends, known->latest.who);
   }
   return taken;
 }
@@ -241,8 +244,8 @@
   if (self_.state != member_state::dead)
     members.push_back(as_member(self_));
   for (const auto& [who, known] : records_)
-    if (known.about.state != member_state::dead && who.host != self_.who.host)
-      members.push_back(as_member(known.about));
+    if (known.latest.state != member_state::dead && who.host != self_.who.host)
+      members.push_back(as_member(known.latest));
   // Of two live incarnations of a host, the one that isn't suspected is shown.
   std::sort(members.begin(), members.end(), [](const member& a, const member& b) {
     return std::tie(a.who.host, a.state, a.who.number) <
@@ -257,34 +260,34 @@
   return view_;
 }
 
-void member_table::spread(record& changed) {
-  end_news(changed);
-  changed.queued = news_.emplace(0, changed.about.who);
+void member_table::enqueue(record& changed) {
+  dequeue(changed);
+  changed.queued = outgoing_updates_.emplace(0, changed.latest.who);
 }
 
-void member_table::end_news(record& known) {
+void member_table::dequeue(record& known) {
   if (known.queued)
-    news_.erase(*known.queued);
+    outgoing_updates_.erase(*known.queued);
   known.queued.reset();
 }
 
 // Every message carries what its sender says about itself, so this only asks for more messages.
-void member_table::spread_self() {
-  self_sends_left_ = sends_per_news();
+void member_table::enqueue_self() {
+  self_sends_left_ = sends_per_update();
 }
 
-void member_table::insert_into_order(const incarnation& who) {
-  const auto place = static_cast<std::ptrdiff_t>(random_.below(order_.size() + 1));
-  order_.insert(order_.begin() + place, who);
+void member_table::insert_into_probe_order(const incarnation& who) {
+  const auto place = static_cast<std::ptrdiff_t>(random_.below(probe_order_.size() + 1));
+  probe_order_.insert(probe_order_.begin() + place, who);
 }
 
-member_table::records::const_iterator member_table::first_of(const host_id& host) const {
+member_table::records::const_iterator member_table::first_record_of(const host_id& host) const {
   return records_.lower_bound({host, 0});
 }
 
-std::uint32_t member_table::sends_per_news() const {
+std::uint32_t member_table::sends_per_update() const {
   constexpr double sends_per_doubling = 1.5;
-  const double doublings = std::log2(static_cast<double>(order_.size()) + 2.0);
+  const double doublings = std::log2(static_cast<double>(probe_order_.size()) + 2.0);
   return 3 + static_cast<std::uint32_t>(std::ceil(sends_per_doubling * doublings));
 }
 
--- a/src/membership/impl/member_table.hpp
+++ b/src/membership/impl/member_table.hpp
@@ -16,8 +16,8 @@
   member_table(member_update self, const membership_options& options, std::uint64_t seed);
 
   /// \brief Takes in one statement; a wrong one about this process is refuted.
-  /// \param spread_news  whether to pass it on; statements of a full exchange are mostly old
-  void merge(time_ms now, const member_update& update, bool spread_news = true);
+  /// \param disseminate  whether to pass it on; statements of a full exchange are mostly old
+  void merge(time_ms now, const member_update& update, bool disseminate = true);
   /// \brief Starts the suspicion of a live member.
   void suspect(time_ms now, const incarnation& who);
   /// \brief Declares a member dead on proof, e.g. another incarnation answers at its address.
@@ -34,50 +34,55 @@
 
   [[nodiscard]] const member_update& self() const noexcept { return self_; }
   /// \returns the live members but this process, in the order in which they are to be probed
-  [[nodiscard]] const std::vector<incarnation>& live_others() const noexcept { return order_; }
+  [[nodiscard]] const std::vector<incarnation>& live_others() const noexcept {
+    return probe_order_;
+  }
   /// \returns what is known of `who`, or null
   [[nodiscard]] const member_update* find(const incarnation& who) const;
   [[nodiscard]] bool host_is_live(const host_id& host) const;
   /// \returns statements that call an incarnation of `host` dead
-  [[nodiscard]] std::vector<member_update> deaths_of(const host_id& host) const;
+  [[nodiscard]] std::vector<member_update> dead_incarnations_of(const host_id& host) const;
   /// \returns statements about every live member, this process left out
   [[nodiscard]] std::vector<member_update> live_updates() const;
 
-  [[nodiscard]] bool has_news() const noexcept { return self_sends_left_ > 0 || !news_.empty(); }
+  [[nodiscard]] bool has_outgoing_updates() const noexcept {
+    return self_sends_left_ > 0 || !outgoing_updates_.empty();
+  }
   /// \brief Takes up to `count` pieces of news; each is handed out a bounded number of times.
-  [[nodiscard]] std::vector<member_update> take_news(std::size_t count);
+  [[nodiscard]] std::vector<member_update> take_outgoing_updates(std::size_t count);
 
   /// \returns the view; its version moves only when a member or its state changed
   [[nodiscard]] const membership_view& view();
 
  private:
-  using news_queue = std::multimap<std::uint32_t, incarnation>;
+  using update_queue = std::multimap<std::uint32_t, incarnation>;
   struct record {
-    member_update about;
-    time_ms since;                              ///< when the present state began
-    std::optional<news_queue::iterator> queued; ///< in `news_`
+    member_update latest;
+    time_ms since;                                ///< when the present state began
+    std::optional<update_queue::iterator> queued; ///< in `outgoing_updates_`
   };
   using records = std::map<incarnation, record>;
 
   void refute(const member_update& update);
-  void add(time_ms now, const member_update& update, bool spread_news);
+  void add(time_ms now, const member_update& update, bool disseminate);
   void apply(time_ms now, record& known, const member_update& update);
   void suspect_other_incarnations(time_ms now, const incarnation& who);
   void set_state(time_ms now, record& known, member_state state);
-  void spread(record& changed);
-  void end_news(record& known);
-  void spread_self();
-  void insert_into_order(const incarnation& who);
-  [[nodiscard]] records::const_iterator first_of(const host_id& host) const;
-  [[nodiscard]] std::uint32_t sends_per_news() const;
+  void enqueue(record& changed);
+  void dequeue(record& known);
+  void enqueue_self();
+  void insert_into_probe_order(const incarnation& who);
+  [[nodiscard]] records::const_iterator first_record_of(const host_id& host) const;
+  [[nodiscard]] std::uint32_t sends_per_update() const;
 
   member_update self_;
   membership_options options_;
   random_source random_;
   records records_;
-  std::vector<incarnation> order_;
+  std::vector<incarnation> probe_order_;
   std::vector<incarnation> suspects_;
-  news_queue news_; ///< by how often each was passed on, so that fresh news comes first
+  update_queue
+      outgoing_updates_; ///< by how often each was passed on, so that fresh news comes first
   std::uint32_t self_sends_left_{0};
   time_ms next_cleanup_;
   time_ms started_;
--- a/src/membership/impl/membership.cpp
+++ b/src/membership/impl/membership.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t most_relays = 64;
+constexpr std::size_t max_relays = 64;
 constexpr unsigned sequence_start_shift = 32;
 
 } // namespace
@@ -76,13 +76,14 @@
   });
   if (asked == relays_.end())
     return;
-  send(asked->asker_address, membership_message_kind::ack, asked->asked_sequence, message.target);
+  send(asked->requester_address, membership_message_kind::ack, asked->requester_sequence,
+       message.target);
   relays_.erase(asked);
 }
 
 void membership::on_indirect_ping(time_ms now, const membership_message& message) {
   std::erase_if(relays_, [&](const relay& old) { return old.expires <= now; });
-  if (relays_.size() >= most_relays)
+  if (relays_.size() >= max_relays)
     return;
   const std::uint64_t sequence = ++last_sequence_;
   relays_.push_back(
@@ -91,7 +92,7 @@
 }
 
 void membership::tick(time_ms now) {
-  notice_pause(now);
+  detect_pause(now);
   check_probe(now);
   if (now >= next_probe_)
     start_probe(now);
@@ -100,7 +101,7 @@
     next_lost_probe_ = now + options_.lost_probe_period;
     probe_lost_host();
   }
-  if (now >= next_gossip_ && table_.has_news()) {
+  if (now >= next_gossip_ && table_.has_outgoing_updates()) {
     next_gossip_ = now + options_.gossip_interval;
     gossip();
   }
@@ -114,7 +115,7 @@
 // After a pause (stopped process, starved host) answers and refutations sit unread in the sockets.
 // Judging by them would declare healthy members dead, so the open probe is dropped and every
 // suspect gets the lost time back.
-void membership::notice_pause(time_ms now) {
+void membership::detect_pause(time_ms now) {
   if (!last_tick_) {
     next_probe_ =
         now + time_ms{static_cast<std::int64_t>(random_.below(options_.probe_period.count()))};
@@ -134,14 +135,15 @@
   if (now >= probe_->fails_at) {
     table_.suspect(now, probe_->target);
     // The suspect itself must hear of the suspicion in order to refute it.
-    const member_update* about = table_.find(probe_->target);
-    if (about != nullptr && about->state == member_state::suspect)
-      send(about->address, membership_message_kind::ping, ++last_sequence_, about->who, {*about});
+    const member_update* latest = table_.find(probe_->target);
+    if (latest != nullptr && latest->state == member_state::suspect)
+      send(latest->address, membership_message_kind::ping, ++last_sequence_, latest->who,
+           {*latest});
     probe_.reset();
     return;
   }
   if (now >= probe_->indirect_at && !std::exchange(probe_->indirect, true))
-    ask_others(probe_->target);
+    send_indirect_pings(probe_->target);
 }
 
 void membership::start_probe(time_ms now) {
@@ -149,9 +151,9 @@
   const auto& order = table_.live_others();
   if (probe_ || order.empty())
     return;
-  if (next_in_order_ >= order.size())
-    next_in_order_ = 0;
-  const member_update* target = table_.find(order[next_in_order_++]);
+  if (next_probe_index_ >= order.size())
+    next_probe_index_ = 0;
+  const member_update* target = table_.find(order[next_probe_index_++]);
   if (target == nullptr)
     return;
   probe_ = probe{++last_sequence_, target->who, now + options_.direct_timeout,
@@ -163,13 +165,13 @@
        std::move(suspicion));
 }
 
-void membership::ask_others(const incarnation& target) {
-  const member_update* about = table_.find(target);
-  if (about == nullptr)
+void membership::send_indirect_pings(const incarnation& target) {
+  const member_update* latest = table_.find(target);
+  if (latest == nullptr)
     return;
-  const std::string target_address = about->address;
+  const std::string target_address = latest->address;
   std::vector<std::string> helper_addresses;
-  for (const member_update* helper : choose_helpers(*about))
+  for (const member_update* helper : choose_helpers(*latest))
     helper_addresses.push_back(helper->address);
   for (const std::string& address : helper_addresses) {
     send(address, membership_message_kind::indirect_ping, probe_->sequence, target);
@@ -213,7 +215,7 @@
     return;
   const listed_host& chosen = *lost[random_.below(lost.size())];
   send(chosen.address, membership_message_kind::ping, ++last_sequence_, {},
-       table_.deaths_of(chosen.host));
+       table_.dead_incarnations_of(chosen.host));
 }
 
 void membership::gossip() {
@@ -266,8 +268,8 @@
   message.updates = std::move(first);
   const std::size_t room =
       max_gossip_updates - std::min(max_gossip_updates, message.updates.size());
-  for (member_update& news : table_.take_news(room))
-    message.updates.push_back(std::move(news));
+  for (member_update& update : table_.take_outgoing_updates(room))
+    message.updates.push_back(std::move(update));
   output_.push_back({address, std::move(message)});
 }
 
--- a/src/membership/impl/membership.hpp
+++ b/src/membership/impl/membership.hpp
@@ -42,19 +42,19 @@
     bool indirect{};
   };
   struct relay {
-    std::uint64_t sequence;       ///< of the probe made for another member
-    std::uint64_t asked_sequence; ///< of that member's own probe
-    std::string asker_address;
+    std::uint64_t sequence;           ///< of the probe made for another member
+    std::uint64_t requester_sequence; ///< of that member's own probe
+    std::string requester_address;
     time_ms expires;
   };
 
   void on_ping(const membership_message& message);
   void on_ack(time_ms now, const membership_message& message);
   void on_indirect_ping(time_ms now, const membership_message& message);
-  void notice_pause(time_ms now);
+  void detect_pause(time_ms now);
   void check_probe(time_ms now);
   void start_probe(time_ms now);
-  void ask_others(const incarnation& target);
+  void send_indirect_pings(const incarnation& target);
   void probe_lost_host();
   void gossip();
   void synchronise();
@@ -73,7 +73,7 @@
   std::optional<probe> probe_;
   std::vector<relay> relays_;
   std::uint64_t last_sequence_{0};
-  std::size_t next_in_order_{0};
+  std::size_t next_probe_index_{0};
   std::optional<time_ms> last_tick_;
   time_ms next_probe_;
   time_ms next_lost_probe_;
--- a/src/wire/impl/claims_codec.cpp
+++ b/src/wire/impl/claims_codec.cpp
@@ -390,8 +390,8 @@
     entry->set_known_since(status.known_since);
     for (const std::uint64_t mark : status.rotations)
       entry->add_rotations(mark);
-    entry->set_blind(status.blind);
-    entry->set_blind_before(status.blind_before);
+    entry->set_blind(status.claims_unknown);
+    entry->set_blind_before(status.unknown_from);
     for (const incarnation& who : status.lost)
       put(who, entry->add_lost());
   }
@@ -409,8 +409,8 @@
     status.witness = take_any(entry.witness(), "witness");
     status.known_since = entry.known_since();
     status.rotations.assign(entry.rotations().begin(), entry.rotations().end());
-    status.blind = entry.blind();
-    status.blind_before = entry.blind_before();
+    status.claims_unknown = entry.blind();
+    status.unknown_from = entry.blind_before();
     for (const wire::claims_incarnation& who : entry.lost())
       status.lost.push_back(take(who, "lost"));
     out.shards.push_back(std::move(status));
--- a/tests/claims/claims_oracle.cpp
+++ b/tests/claims/claims_oracle.cpp
@@ -1,4 +1,4 @@
-#include "claims_world.hpp"
+#include "claims_simulation.hpp"
 
 #include <utility>
 
@@ -19,7 +19,7 @@
   return *this;
 }
 
-void claims_world::decide(std::size_t slot, const claim_decision& decision) {
+void claims_simulation::decide(std::size_t slot, const claim_decision& decision) {
   const auto found = call_of_.find({hosts_[slot].who.number, decision.ticket});
   if (found == call_of_.end())
     return;
@@ -42,7 +42,7 @@
   }
 }
 
-void claims_world::proceed(std::size_t index, const proceed_decision& decision) {
+void claims_simulation::proceed(std::size_t index, const proceed_decision& decision) {
   call& granted = calls_[index];
   found_.unresolved += granted.look_up ? 1 : 0;
   claim_host& host = *hosts_[granted.host].host;
@@ -68,9 +68,9 @@
       ++found_.false_not_run;
 }
 
-void claims_world::refused(std::size_t index, error_kind kind) {
-  const bool pretends = fault_ == mutation::not_run_if_unreachable;
-  if (answer_for(kind).outcome != run_outcome::not_run && !pretends) {
+void claims_simulation::refused(std::size_t index, error_kind kind) {
+  const bool fault_active = fault_ == mutation::not_run_if_unreachable;
+  if (answer_for(kind).outcome != run_outcome::not_run && !fault_active) {
     ++found_.refused_unknown;
     return;
   }
@@ -80,7 +80,7 @@
     check_not_run(index);
 }
 
-void claims_world::check_not_run(std::size_t index) {
+void claims_simulation::check_not_run(std::size_t index) {
   for (const std::size_t other : history_[calls_[index].key].calls) {
     const bool earlier = calls_[other].granted_at < calls_[index].began_at;
     if (calls_[other].ran && (earlier || other == index))
@@ -88,7 +88,7 @@
   }
 }
 
-void claims_world::end_run(std::uint32_t chosen, std::uint32_t how) {
+void claims_simulation::end_run(std::uint32_t chosen, std::uint32_t how) {
   if (running_.empty())
     return;
   const std::size_t place_in_list = chosen % running_.size();
@@ -110,7 +110,7 @@
   collect(ending.host);
 }
 
-void claims_world::settle() {
+void claims_simulation::settle() {
   cut_ = {};
   suspected_until_ = {};
   log_down_ = false;
@@ -123,7 +123,7 @@
     found_.unresolved += one.decided ? 0 : 1;
 }
 
-void claims_world::check_recovery() {
+void claims_simulation::check_recovery() {
   advance(time_ms{20000});
   std::vector<std::size_t> fresh_calls;
   for (std::size_t slot = 0; slot < host_count; ++slot) {
@@ -137,7 +137,7 @@
     found_.stuck += calls_[index].ran ? 0 : 1;
 }
 
-bool claims_world::mutate(std::size_t slot, const addressed_claims_message& sent) {
+bool claims_simulation::mutate(std::size_t slot, const addressed_claims_message& sent) {
   if (const auto* asked = std::get_if<countersign_request>(&sent.message)) {
     if (fault_ != mutation::skip_witness)
       return false;
@@ -182,7 +182,7 @@
 }
 
 findings run_schedule(std::uint64_t seed, std::size_t steps, mutation fault) {
-  claims_world world{seed, fault};
+  claims_simulation world{seed, fault};
   for (std::size_t i = 0; i < steps; ++i)
     world.apply(world.random_action());
   world.settle();
--- a/tests/claims/claims_world.cpp
+++ b/tests/claims/claims_simulation.cpp
@@ -1,37 +1,38 @@
-#include "claims_world.hpp"
+#include "claims_simulation.hpp"
 
 #include <algorithm>
 #include <utility>
 
 namespace sedgechute::test {
 
-claims_options claims_world::options() {
+claims_options claims_simulation::options() {
   claims_options chosen;
-  chosen.shards_without_home = 1;
+  chosen.unpinned_shards = 1;
   chosen.shards_per_data_centre = 1;
-  chosen.settle_time = time_ms{500};
+  chosen.startup_wait = time_ms{500};
   chosen.retention = time_ms{120000};
   chosen.rotation_period = time_ms{8000};
   chosen.successor_wait = time_ms{3000};
-  chosen.blank_interval = time_ms{6000};
-  chosen.report_patience = time_ms{5000};
-  chosen.lone_wait = time_ms{3000};
+  chosen.empty_epoch_interval = time_ms{6000};
+  chosen.report_timeout = time_ms{5000};
+  chosen.single_host_wait = time_ms{3000};
   return chosen;
 }
 
-claims_world::claims_world(std::uint64_t seed, mutation fault) : fault_{fault}, random_{seed} {
+claims_simulation::claims_simulation(std::uint64_t seed, mutation fault)
+    : fault_{fault}, random_{seed} {
   for (std::size_t slot = 0; slot < host_count; ++slot)
     hosts_[slot].who = {host_id{"h" + std::to_string(slot)}, random_() | 1U};
-  const std::array homes{std::pair{claim_shard{data_centre_id{}, false, 0}, 0U},
-                         std::pair{claim_shard{place(0), false, 0}, 1U},
-                         std::pair{claim_shard{place(0), true, 0}, 0U},
-                         std::pair{claim_shard{place(4), false, 0}, 3U},
-                         std::pair{claim_shard{place(4), true, 0}, 3U}};
-  for (const auto& [shard, holder] : homes)
+  const std::array delegations{std::pair{claim_shard{data_centre_id{}, false, 0}, 0U},
+                               std::pair{claim_shard{data_centre(0), false, 0}, 1U},
+                               std::pair{claim_shard{data_centre(0), true, 0}, 0U},
+                               std::pair{claim_shard{data_centre(4), false, 0}, 3U},
+                               std::pair{claim_shard{data_centre(4), true, 0}, 3U}};
+  for (const auto& [shard, holder] : delegations)
     log_.push_back(
         {random_(), claim_delegation{shard, 0, hosts_[holder].who, hosts_[holder + 1].who, 0}});
   for (std::size_t slot = 0; slot < host_count; ++slot) {
-    hosts_[slot].host = std::make_unique<claim_host>(hosts_[slot].who, place(slot), options(),
+    hosts_[slot].host = std::make_unique<claim_host>(hosts_[slot].who, data_centre(slot), options(),
                                                      hosts_[slot].who.number);
     read_log(slot);
   }
@@ -40,11 +41,11 @@
     keys_.push_back({});
 }
 
-void claims_world::start(std::size_t slot) {
+void claims_simulation::start(std::size_t slot) {
   host_slot& started = hosts_[slot];
   started.who.number = random_() | 1U;
   started.host =
-      std::make_unique<claim_host>(started.who, place(slot), options(), started.who.number);
+      std::make_unique<claim_host>(started.who, data_centre(slot), options(), started.who.number);
   started.read = 0;
   started.paused = false;
   started.view.clear();
@@ -58,7 +59,7 @@
     read_log(slot);
 }
 
-action claims_world::random_action() {
+action claims_simulation::random_action() {
   static constexpr std::array weights{30U, 45U, 12U, 2U, 3U, 3U, 2U, 2U, 1U, 2U, 2U, 1U};
   std::uint64_t total = 0;
   for (const unsigned weight : weights)
@@ -71,7 +72,7 @@
           static_cast<std::uint32_t>(random_())};
 }
 
-void claims_world::apply(const action& step) {
+void claims_simulation::apply(const action& step) {
   const std::size_t slot = step.a % host_count;
   switch (step.kind) {
   case action_kind::begin:
@@ -97,9 +98,9 @@
   case action_kind::cut:
     for (std::size_t i = 0; i < host_count; ++i)
       for (std::size_t j = 0; j < host_count; ++j) {
-        const bool between_places = step.b % 2 == 0 && place(i) != place(j);
+        const bool between_data_centres = step.b % 2 == 0 && data_centre(i) != data_centre(j);
         const bool around_host = step.b % 2 == 1 && (i == slot) != (j == slot);
-        cut_[i][j] = cut_[i][j] || between_places || around_host;
+        cut_[i][j] = cut_[i][j] || between_data_centres || around_host;
       }
     break;
   case action_kind::heal:
@@ -114,7 +115,7 @@
   case action_kind::drain:
     // One host of a data centre at a time, as in a rolling replacement.
     for (std::size_t other = 0; other < host_count; ++other)
-      if (hosts_[other].draining && place(other) == place(slot))
+      if (hosts_[other].draining && data_centre(other) == data_centre(slot))
         return;
     hosts_[slot].draining = true;
     hosts_[slot].host->drain(now_);
@@ -125,7 +126,7 @@
   }
 }
 
-void claims_world::begin(std::uint32_t chosen, std::size_t slot) {
+void claims_simulation::begin(std::uint32_t chosen, std::size_t slot) {
   host_slot& entry = hosts_[slot];
   if (entry.paused || entry.draining)
     return;
@@ -145,8 +146,8 @@
   call_host(key, slot, fresh, !fresh && chosen % 17 == 0);
 }
 
-std::size_t claims_world::call_host(const caller_key& key, std::size_t slot, bool fresh,
-                                    bool look_up) {
+std::size_t claims_simulation::call_host(const caller_key& key, std::size_t slot, bool fresh,
+                                         bool look_up) {
   host_slot& entry = hosts_[slot];
   const team_id team{"t"};
   const std::uint64_t ticket =
@@ -168,7 +169,7 @@
   return index;
 }
 
-void claims_world::advance(time_ms span) {
+void claims_simulation::advance(time_ms span) {
   while (span > time_ms{0}) {
     const time_ms step = std::min(span, time_ms{250});
     span -= step;
@@ -195,7 +196,7 @@
   }
 }
 
-void claims_world::refresh_views() {
+void claims_simulation::refresh_views() {
   for (std::size_t viewer = 0; viewer < host_count; ++viewer) {
     if (hosts_[viewer].paused)
       continue;
@@ -203,7 +204,7 @@
     for (std::size_t other = 0; other < host_count; ++other) {
       const bool suspected = suspected_until_[viewer][other] > now_;
       if (viewer == other || (!hosts_[other].paused && !is_cut(viewer, other) && !suspected))
-        view.push_back({hosts_[other].who, place(other), hosts_[other].draining});
+        view.push_back({hosts_[other].who, data_centre(other), hosts_[other].draining});
     }
     if (view == hosts_[viewer].view)
       continue;
@@ -212,7 +213,7 @@
   }
 }
 
-void claims_world::deliver_some() {
+void claims_simulation::deliver_some() {
   delivering_.clear();
   delivering_.swap(network_);
   for (in_flight& sent : delivering_) {
@@ -221,14 +222,14 @@
     // A message of a process that has ended may still arrive; one to such a process can't.
     if (!to || (from && is_cut(*from, *to)))
       continue;
-    const std::uint64_t fate = settling_ ? 100 : random_.below(100);
-    if (fate < 4)
+    const std::uint64_t draw = settling_ ? 100 : random_.below(100);
+    if (draw < 4)
       continue;
-    if (fate < 14 || hosts_[*to].paused) {
+    if (draw < 14 || hosts_[*to].paused) {
       network_.push_back(std::move(sent));
       continue;
     }
-    if (fate < 18)
+    if (draw < 18)
       network_.push_back(sent);
     hosts_[*to].host->on_message(now_, sent.from, sent.message);
     collect(*to);
@@ -237,7 +238,7 @@
     std::swap(network_[random_.below(network_.size())], network_.back());
 }
 
-void claims_world::collect(std::size_t slot) {
+void claims_simulation::collect(std::size_t slot) {
   for (;;) {
     claims_output output = hosts_[slot].host->take_output();
     if (output.messages.empty() && output.records.empty() && output.decisions.empty())
@@ -252,24 +253,24 @@
   }
 }
 
-void claims_world::append(std::size_t slot, const claims_record& record) {
+void claims_simulation::append(std::size_t slot, const claims_record& record) {
   if (log_down_)
     return;
   if (fault_ == mutation::trust_append)
     hosts_[slot].host->on_record(now_, log_.size() + 1, record);
-  const std::uint64_t fate = settling_ ? 100 : random_.below(100);
-  if (fate < 10)
+  const std::uint64_t draw = settling_ ? 100 : random_.below(100);
+  if (draw < 10)
     return;
-  if (fate < 20) {
+  if (draw < 20) {
     late_appends_.push_back(record);
     return;
   }
   log_.push_back(record);
-  if (fate < 30)
+  if (draw < 30)
     late_appends_.push_back(record);
 }
 
-void claims_world::read_log(std::size_t slot) {
+void claims_simulation::read_log(std::size_t slot) {
   host_slot& reader = hosts_[slot];
   while (reader.read < log_.size()) {
     const claims_record record = log_[reader.read];
@@ -277,7 +278,7 @@
   }
 }
 
-void claims_world::skip_log(std::size_t slot) {
+void claims_simulation::skip_log(std::size_t slot) {
   const auto donor =
       std::max_element(hosts_.begin(), hosts_.end(),
                        [](const host_slot& a, const host_slot& b) { return a.read < b.read; });
@@ -287,7 +288,7 @@
   hosts_[slot].read = donor->read;
 }
 
-void claims_world::crash(std::size_t slot) {
+void claims_simulation::crash(std::size_t slot) {
   for (call& affected : calls_)
     if (affected.host == slot && affected.number == hosts_[slot].who.number) {
       affected.decided = true;
@@ -297,7 +298,7 @@
   start(slot);
 }
 
-std::optional<std::size_t> claims_world::slot_of(const incarnation& who) const {
+std::optional<std::size_t> claims_simulation::slot_of(const incarnation& who) const {
   for (std::size_t slot = 0; slot < host_count; ++slot)
     if (same_process(hosts_[slot].who, who))
       return slot;
--- a/tests/claims/claims_world.hpp
+++ b/tests/claims/claims_simulation.hpp
@@ -105,9 +105,9 @@
 
 /// \brief Several hosts over fakes of network, log, failure detector and engines, and the naive
 /// oracle: one map from key to what happened under it.
-class claims_world {
+class claims_simulation {
  public:
-  explicit claims_world(std::uint64_t seed, mutation fault = mutation::none);
+  explicit claims_simulation(std::uint64_t seed, mutation fault = mutation::none);
 
   void apply(const action& step);
   /// \brief Heals everything and lets time pass until every call must have been decided.
@@ -161,7 +161,9 @@
   };
   using call_id = std::pair<std::uint64_t, std::uint64_t>; ///< incarnation number, ticket
 
-  static data_centre_id place(std::size_t slot) { return data_centre_id{slot < 3 ? "a" : "b"}; }
+  static data_centre_id data_centre(std::size_t slot) {
+    return data_centre_id{slot < 3 ? "a" : "b"};
+  }
   static claims_options options();
   void start(std::size_t slot);
   void begin(std::uint32_t key, std::size_t slot);
--- a/tests/claims/key_test.cpp
+++ b/tests/claims/key_test.cpp
@@ -26,7 +26,7 @@
     const claim_shard shard = shard_of({team_id{"t"}, text}, options);
     RC_ASSERT(shard == shard_of({team_id{"t"}, text}, options));
     if (!shard.minted)
-      RC_ASSERT(shard.index < options.shards_without_home);
+      RC_ASSERT(shard.index < options.unpinned_shards);
   }));
   CHECK(shard_of({team_id{"t"}, "@kop-b/x"}, options).data_centre == data_centre_id{"kop-b"});
   CHECK(shard_of({team_id{"t"}, "@/x"}, options).data_centre.empty());
--- a/tests/claims/retry_test.cpp
+++ b/tests/claims/retry_test.cpp
@@ -39,7 +39,7 @@
     "after its host's death an order may only be resumed, a repeatable request starts again") {
   for (const bool idempotent : {false, true}) {
     small_fleet fleet{4};
-    const std::size_t entry = fleet.bystander_of(key);
+    const std::size_t entry = fleet.uninvolved_host_of(key);
     const std::size_t other = fleet.holder_of(key);
     const claim_decision first = fleet.ask(entry, key, idempotent);
     REQUIRE(proceeds(first));
@@ -61,7 +61,7 @@
 // peer knows of no endpoint, so there is nothing to resume.
 TEST_CASE("an order whose host died without a trace is told outcome unknown for good") {
   small_fleet fleet{4};
-  const std::size_t entry = fleet.bystander_of(key);
+  const std::size_t entry = fleet.uninvolved_host_of(key);
   REQUIRE(proceeds(fleet.ask(entry, key)));
   fleet.stop(entry);
   fleet.run(2_s);
@@ -71,7 +71,7 @@
 
 TEST_CASE("a retained answer outlives the host that gave it") {
   small_fleet fleet{4};
-  const std::size_t entry = fleet.bystander_of(key);
+  const std::size_t entry = fleet.uninvolved_host_of(key);
   const claim_decision first = fleet.ask(entry, key);
   REQUIRE(proceeds(first));
   fleet.at(entry).finish_answered(fleet.now, first.ticket, some_answer());
@@ -89,7 +89,7 @@
   claims_options options;
   options.retention = 20_s;
   small_fleet fleet{4, options};
-  const std::size_t entry = fleet.bystander_of(key);
+  const std::size_t entry = fleet.uninvolved_host_of(key);
   REQUIRE(proceeds(fleet.ask(entry, key)));
   fleet.paused.insert(entry);
   fleet.run(60_s);
@@ -101,16 +101,16 @@
 // A host can't reach whoever decides. It must not say `not run`: the key may be running over there.
 TEST_CASE("a host cut off from the holder answers within its bound, and truthfully") {
   small_fleet fleet{4};
-  const std::size_t lonely = fleet.bystander_of(key);
-  const std::string minted = fleet.at(lonely).mint_key(fleet.now).value();
+  const std::size_t isolated = fleet.uninvolved_host_of(key);
+  const std::string minted = fleet.at(isolated).mint_key(fleet.now).value();
   for (std::size_t host = 0; host < 4; ++host)
-    fleet.cut.insert({lonely, host});
-  const std::uint64_t keyed = fleet.begin(lonely, key);
+    fleet.cut.insert({isolated, host});
+  const std::uint64_t keyed = fleet.begin(isolated, key);
   const std::uint64_t fresh =
-      fleet.at(lonely).begin(fleet.now, {team_id{"t"}, minted, 1, false, true});
+      fleet.at(isolated).begin(fleet.now, {team_id{"t"}, minted, 1, false, true});
   fleet.run(claims_options{}.begin_timeout + 100_ms);
-  CHECK(refuses(fleet.decision(lonely, keyed), error_kind::outcome_unknown));
-  CHECK(refuses(fleet.decision(lonely, fresh), error_kind::not_ready));
+  CHECK(refuses(fleet.decision(isolated, keyed), error_kind::outcome_unknown));
+  CHECK(refuses(fleet.decision(isolated, fresh), error_kind::not_ready));
   CHECK(answer_for(error_kind::not_ready).outcome == run_outcome::not_run);
   fleet.cut.clear();
   fleet.run(10_s);
@@ -136,7 +136,7 @@
 // another host. When the first one wakes up it finds no capacity and is about to say `not run`.
 TEST_CASE("a woken host does not say not run about what another host has run meanwhile") {
   small_fleet fleet{4};
-  const std::size_t entry = fleet.bystander_of(key);
+  const std::size_t entry = fleet.uninvolved_host_of(key);
   const claim_decision first = fleet.ask(entry, key, true);
   REQUIRE(proceeds(first));
   fleet.paused.insert(entry);
--- a/tests/claims/rules_test.cpp
+++ b/tests/claims/rules_test.cpp
@@ -44,13 +44,13 @@
 // the new holder, who knows nothing of the second one, which ran. The caller sends the order once
 // more.
 TEST_CASE("a reported attempt that never ran doesn't show that no other one did") {
-  const report_step step = judge_report(attempt(1, request_state::refused), std::nullopt);
+  const report_step step = evaluate_report(attempt(1, request_state::refused), std::nullopt);
   REQUIRE(step.action == report_action::propose);
   CHECK(step.next.may_have_run);
   CHECK(verdict_on(stored_claim{step.next, std::nullopt}) == claim_verdict::unknown);
 
   const stored_claim first{attempt(1, request_state::abandoned), std::nullopt};
-  const report_step later = judge_report(attempt(2, request_state::refused), first);
+  const report_step later = evaluate_report(attempt(2, request_state::refused), first);
   REQUIRE(later.action == report_action::propose);
   CHECK(verdict_on(stored_claim{later.next, std::nullopt}) == claim_verdict::unknown);
 }
@@ -62,7 +62,7 @@
   claim_table table{pool};
   table.merge(1_s, attempt(1, request_state::refused));
   CHECK(verdict_on(table.find(attempt(1, request_state::refused).id)) == claim_verdict::granted);
-  table.doubt_all();
+  table.assume_all_may_have_run();
   CHECK(verdict_on(table.find(attempt(1, request_state::refused).id)) == claim_verdict::unknown);
 }
 
@@ -126,11 +126,11 @@
   for (std::uint32_t i = 0; i < 2 * max_claims_per_part + 1; ++i)
     claims.push_back(attempt(i + 1, request_state::answered));
   table_transfer transfer = start_transfer(1, claims);
-  transfer_allowance plenty{100000};
-  plenty.refill(1_s);
-  std::vector<table_part> parts = due_parts(transfer, 1_s, 150_ms, claim_shard{}, 5, plenty);
+  transfer_rate_limiter unlimited{100000};
+  unlimited.refill(1_s);
+  std::vector<table_part> parts = due_parts(transfer, 1_s, 150_ms, claim_shard{}, 5, unlimited);
   REQUIRE(parts.size() == 3);
-  CHECK(due_parts(transfer, 1_s, 150_ms, claim_shard{}, 5, plenty).empty());
+  CHECK(due_parts(transfer, 1_s, 150_ms, claim_shard{}, 5, unlimited).empty());
   arriving_table arriving;
   CHECK_FALSE(note_arrival(arriving, parts[2]));
   CHECK_FALSE(note_arrival(arriving, parts[0]));
@@ -138,7 +138,7 @@
   CHECK(note_arrival(arriving, parts[1]));
   for (const std::uint32_t part : {0U, 2U})
     note_ack(transfer, {claim_shard{}, 5, 1, part});
-  CHECK(due_parts(transfer, 2_s, 150_ms, claim_shard{}, 5, plenty).size() == 1);
+  CHECK(due_parts(transfer, 2_s, 150_ms, claim_shard{}, 5, unlimited).size() == 1);
   note_ack(transfer, {claim_shard{}, 5, 1, 1});
   CHECK(is_finished(transfer));
 }
@@ -148,7 +148,7 @@
 TEST_CASE("tables are sent no faster than allowed, and all of them") {
   const std::vector<claim> claims(3 * max_claims_per_part, attempt(1, request_state::answered));
   table_transfer transfer = start_transfer(1, claims);
-  transfer_allowance allowance{static_cast<std::int64_t>(max_claims_per_part)};
+  transfer_rate_limiter allowance{static_cast<std::int64_t>(max_claims_per_part)};
   std::size_t sent = 0;
   for (time_ms now = 10_s; now < 14_s; now += 50_ms) {
     allowance.refill(now);
@@ -174,9 +174,9 @@
   CHECK_FALSE(map.apply(1_s, 13, {3, claim_delegation{shard, 10, host(2), host(3), 10}}));
   CHECK(map.find(shard)->epoch == 12);
   CHECK(map.find(shard)->known_since == 10);
-  CHECK_FALSE(map.is_blind(1_s, *map.find(shard)));
+  CHECK_FALSE(map.has_unknown_claims(1_s, *map.find(shard)));
   CHECK(map.apply(2_s, 14, {4, claim_delegation{shard, 12, host(5), host(6), 0}}));
-  CHECK(map.is_blind(2_s, *map.find(shard)));
+  CHECK(map.has_unknown_claims(2_s, *map.find(shard)));
   CHECK(map.find(shard)->lost.size() == 2);
 }
 
--- a/tests/claims/schedule_test.cpp
+++ b/tests/claims/schedule_test.cpp
@@ -1,4 +1,4 @@
-#include "claims_world.hpp"
+#include "claims_simulation.hpp"
 
 #include <doctest/doctest.h>
 
--- a/tests/claims/small_fleet.hpp
+++ b/tests/claims/small_fleet.hpp
@@ -16,7 +16,7 @@
  public:
   explicit small_fleet(std::size_t hosts, claims_options options = {}, std::uint32_t shards = 1)
       : options_{options} {
-    options_.shards_without_home = shards;
+    options_.unpinned_shards = shards;
     options_.shards_per_data_centre = shards;
     for (std::size_t i = 0; i < hosts; ++i)
       start(i);
@@ -26,7 +26,7 @@
   void start(std::size_t i) {
     if (hosts_.size() <= i)
       hosts_.resize(i + 1);
-    hosts_[i] = std::make_unique<claim_host>(incarnation{name(i), ++last_number_}, place(),
+    hosts_[i] = std::make_unique<claim_host>(incarnation{name(i), ++last_number_}, data_centre(),
                                              options_, last_number_);
     numbers_[i] = last_number_;
     read_[i] = 0;
@@ -66,10 +66,10 @@
 
   /// \returns the place of the holder (or witness) of the shard that decides for `key`
   [[nodiscard]] std::size_t holder_of(const std::string& key) {
-    return place_of(status_of(key).holder);
+    return index_of(status_of(key).holder);
   }
   [[nodiscard]] std::size_t witness_of(const std::string& key) {
-    return place_of(status_of(key).witness);
+    return index_of(status_of(key).witness);
   }
   [[nodiscard]] shard_status status_of(const std::string& key) {
     shard_map map{options_};
@@ -78,7 +78,7 @@
     return *map.find(shard_of({team_id{"t"}, key}, options_));
   }
   /// \returns a host that is neither holder nor witness for `key`
-  [[nodiscard]] std::size_t bystander_of(const std::string& key) {
+  [[nodiscard]] std::size_t uninvolved_host_of(const std::string& key) {
     std::size_t i = 0;
     while (i == holder_of(key) || i == witness_of(key))
       ++i;
@@ -92,7 +92,7 @@
   std::vector<claims_record> log;
 
   static host_id name(std::size_t i) { return host_id{"h" + std::to_string(i)}; }
-  static data_centre_id place() { return data_centre_id{"a"}; }
+  static data_centre_id data_centre() { return data_centre_id{"a"}; }
 
  private:
   struct in_flight {
@@ -101,7 +101,7 @@
     claims_message message;
   };
 
-  [[nodiscard]] std::size_t place_of(const incarnation& host) const {
+  [[nodiscard]] std::size_t index_of(const incarnation& host) const {
     for (const auto& [i, number] : numbers_)
       if (number == host.number)
         return i;
@@ -118,10 +118,10 @@
     std::vector<in_flight> arriving;
     arriving.swap(network_);
     for (const in_flight& sent : arriving) {
-      const std::size_t to = place_of(sent.to);
+      const std::size_t to = index_of(sent.to);
       if (to < hosts_.size() && paused.contains(to))
         network_.push_back(sent);
-      else if (is_up(to) && !is_cut(place_of(sent.from), to))
+      else if (is_up(to) && !is_cut(index_of(sent.from), to))
         hosts_[to]->on_message(now, sent.from, sent.message);
     }
     for (std::size_t i = 0; i < hosts_.size(); ++i)
@@ -136,7 +136,7 @@
     std::vector<live_host> view;
     for (std::size_t other = 0; other < hosts_.size(); ++other)
       if (is_up(other) && !is_cut(i, other))
-        view.push_back({who(other), place(), leaving_.contains(other)});
+        view.push_back({who(other), data_centre(), leaving_.contains(other)});
     hosts_[i]->on_members(now, view);
     while (!log_down && read_[i] < log.size()) {
       const claims_record record = log[read_[i]];
--- a/tests/claims/stateful_test.cpp
+++ b/tests/claims/stateful_test.cpp
@@ -1,4 +1,4 @@
-#include "claims_world.hpp"
+#include "claims_simulation.hpp"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -15,7 +15,7 @@
   std::size_t actions{0};
 };
 
-class schedule_action : public rc::state::Command<schedule_model, claims_world> {
+class schedule_action : public rc::state::Command<schedule_model, claims_simulation> {
  public:
   schedule_action() {
     using enum action_kind;
@@ -36,7 +36,7 @@
   }
 
   void apply(schedule_model& model) const override { ++model.actions; }
-  void run(const schedule_model&, claims_world& world) const override {
+  void run(const schedule_model&, claims_simulation& world) const override {
     world.apply(step_);
     RC_ASSERT(world.found().clean());
   }
@@ -49,7 +49,7 @@
 };
 
 void check_schedule(std::uint64_t seed, mutation fault) {
-  claims_world world{seed, fault};
+  claims_simulation world{seed, fault};
   rc::state::check(schedule_model{}, world, rc::state::gen::execOneOfWithArgs<schedule_action>());
   world.settle();
   RC_ASSERT(world.found().clean());
--- a/tests/claims/takeover_test.cpp
+++ b/tests/claims/takeover_test.cpp
@@ -28,7 +28,7 @@
 TEST_CASE("a paused holder that wakes up can grant nothing") {
   small_fleet fleet{4};
   const std::size_t holder = fleet.holder_of(key);
-  const std::size_t other = fleet.bystander_of(key);
+  const std::size_t other = fleet.uninvolved_host_of(key);
   fleet.paused.insert(holder);
   fleet.run(5_s);
   CHECK(fleet.holder_of(key) != holder);
@@ -78,19 +78,19 @@
   for (const std::size_t host : {holder, witness, minted_holder, minted_witness})
     fleet.stop(host);
   fleet.run(12_s);
-  const std::size_t asker = fleet.holder_of(key);
-  CHECK(refuses(fleet.ask(asker, key), error_kind::outcome_unknown));
-  CHECK(refuses(fleet.ask(asker, old_minted), error_kind::outcome_unknown));
-  CHECK(proceeds(fleet.ask(asker, fleet.at(asker).mint_key(fleet.now).value())));
+  const std::size_t caller = fleet.holder_of(key);
+  CHECK(refuses(fleet.ask(caller, key), error_kind::outcome_unknown));
+  CHECK(refuses(fleet.ask(caller, old_minted), error_kind::outcome_unknown));
+  CHECK(proceeds(fleet.ask(caller, fleet.at(caller).mint_key(fleet.now).value())));
 
   // Without proof that both have ended they may be cut off and still grant keys.
   fleet.run(120_s);
-  CHECK(refuses(fleet.ask(asker, key), error_kind::outcome_unknown));
+  CHECK(refuses(fleet.ask(caller, key), error_kind::outcome_unknown));
   for (const std::size_t host : {holder, witness})
     fleet.start(host);
   fleet.run(options.successor_wait + options.retention + 5_s);
-  CHECK(proceeds(fleet.ask(asker, key)));
-  CHECK(refuses(fleet.ask(asker, old_minted), error_kind::outcome_unknown));
+  CHECK(proceeds(fleet.ask(caller, key)));
+  CHECK(refuses(fleet.ask(caller, old_minted), error_kind::outcome_unknown));
 }
 
 // Holder and witness are cut off from their neighbours for a while, are taken for dead, and come
@@ -111,7 +111,7 @@
   fleet.run(10_s);
   CHECK(refuses(fleet.ask(successor, key), error_kind::outcome_unknown));
   CHECK(proceeds(fleet.ask(successor, "new")));
-  CHECK(fleet.at(successor).statistics(fleet.now).shards_blind == 0);
+  CHECK(fleet.at(successor).statistics(fleet.now).shards_with_unknown_claims == 0);
 }
 
 TEST_CASE("a rolling replacement of every host loses no claim and stops no service") {
@@ -127,7 +127,7 @@
     CHECK(refuses(fleet.ask((host + 1) % 4, key), error_kind::outcome_unknown));
     run_key(fleet, (host + 1) % 4, "new-" + std::to_string(host));
   }
-  CHECK(fleet.at(0).statistics(fleet.now).shards_blind == 0);
+  CHECK(fleet.at(0).statistics(fleet.now).shards_with_unknown_claims == 0);
 }
 
 TEST_CASE("hosts that start later take over a share of the shards") {
@@ -155,7 +155,7 @@
     status.epoch += 100;
   fleet.at(holder).restore(fleet.now, checkpoint);
   const std::size_t records = fleet.log.size();
-  CHECK(refuses(fleet.ask(fleet.bystander_of(key), key), error_kind::outcome_unknown));
+  CHECK(refuses(fleet.ask(fleet.uninvolved_host_of(key), key), error_kind::outcome_unknown));
   REQUIRE(fleet.log.size() > records);
   for (std::size_t i = records; i < fleet.log.size(); ++i) {
     const auto* delegation = std::get_if<claim_delegation>(&fleet.log[i].body);
--- a/tests/claims/wire_test.cpp
+++ b/tests/claims/wire_test.cpp
@@ -106,10 +106,10 @@
   wire::claims_message empty = good;
   empty.mutable_bodies(0)->clear_body();
   CHECK_THROWS_AS((void)read(empty), error);
-  wire::claims_message crowded = good;
+  wire::claims_message oversized = good;
   for (std::size_t i = 0; i < max_claims_bundle; ++i)
-    *crowded.add_bodies() = good.bodies(0);
-  CHECK_THROWS_AS((void)read(crowded), error);
+    *oversized.add_bodies() = good.bodies(0);
+  CHECK_THROWS_AS((void)read(oversized), error);
   const auto with = [&](const auto& change) {
     wire::claims_message changed = good;
     change(*changed.mutable_bodies(0)->mutable_request()->mutable_wanted());
--- a/tests/membership/virtual_network.hpp
+++ b/tests/membership/virtual_network.hpp
@@ -37,7 +37,7 @@
     members_[i] = std::make_unique<membership>(incarnation{name(i), number}, data_centre(i),
                                                address(i), membership_options{}, number);
     members_[i]->on_host_list(now, listed_);
-    places_[address(i)] = i;
+    index_by_address_[address(i)] = i;
   }
   void crash(std::size_t i) { members_[i].reset(); }
 
@@ -107,7 +107,7 @@
   }
 
   void deliver(in_flight& sent) {
-    const std::size_t to = places_.at(sent.to);
+    const std::size_t to = index_by_address_.at(sent.to);
     if (!members_[to] || cut(sent.from, to) || random_.unit() < loss)
       return;
     if (paused.contains(to))
@@ -126,7 +126,7 @@
   random_source random_;
   std::vector<listed_host> listed_;
   std::vector<std::unique_ptr<membership>> members_;
-  std::map<std::string, std::size_t> places_;
+  std::map<std::string, std::size_t> index_by_address_;
   std::deque<in_flight> network_;
 };
 
--- a/tests/membership/wire_test.cpp
+++ b/tests/membership/wire_test.cpp
@@ -44,17 +44,17 @@
   const wire::membership_message good = to_wire(message);
   CHECK(from_wire(good) == message);
 
-  wire::membership_message nameless = good;
-  nameless.mutable_from()->clear_host();
-  CHECK_THROWS_AS((void)from_wire(nameless), error);
+  wire::membership_message without_host = good;
+  without_host.mutable_from()->clear_host();
+  CHECK_THROWS_AS((void)from_wire(without_host), error);
   wire::membership_message long_name = good;
   long_name.set_target_host(std::string(max_membership_name + 1, 'x'));
   CHECK_THROWS_AS((void)from_wire(long_name), error);
   wire::membership_message bad_state = good;
   bad_state.mutable_from()->set_state(static_cast<wire::member_state>(9));
   CHECK_THROWS_AS((void)from_wire(bad_state), error);
-  wire::membership_message crowded = good;
+  wire::membership_message oversized = good;
   for (std::size_t i = 0; i <= max_sync_updates; ++i)
-    *crowded.add_updates() = good.from();
-  CHECK_THROWS_AS((void)from_wire(crowded), error);
+    *oversized.add_updates() = good.from();
+  CHECK_THROWS_AS((void)from_wire(oversized), error);
 }
