--- a/bench/claims/main.cpp
+++ b/bench/claims/main.cpp
@@ -1,5 +1,5 @@
-// sedgechute-claims: runs random schedules of faults against several hosts' claims and counts what
-// no caller may meet. Any schedule replays from its seed.
+// sedgechute-claims: runs random schedules of faults against a simulation of several hosts and
+// counts violations of the claims protocol. Any schedule can be replayed from its seed.
 
 #include "claims_simulation.hpp"
 
@@ -13,12 +13,12 @@
 ABSL_FLAG(std::uint64_t, schedules, 10000, "how many schedules to run");
 ABSL_FLAG(std::uint64_t, seed, 1, "seed of the first schedule; the next ones follow");
 ABSL_FLAG(std::uint64_t, steps, 150, "random actions of a schedule");
-ABSL_FLAG(bool, mutations, false, "show that each deliberate fault in the protocol is noticed");
+ABSL_FLAG(bool, mutations, false, "check that each deliberate protocol fault is detected");
 
 namespace sedgechute::test {
 namespace {
 
-// Processor time: other programs on the machine must not change what a schedule costs.
+// Processor time, so that other programs on the machine don't affect the result.
 double seconds_used() {
   return static_cast<double>(std::clock()) / static_cast<double>(CLOCKS_PER_SEC);
 }
--- a/src/claims/claims.hpp
+++ b/src/claims/claims.hpp
@@ -1,10 +1,11 @@
 #pragma once
 
 /// \file
-/// \brief Claims: who may run a request under an idempotency key, and what a retry is told.
+/// \brief Claims on idempotency keys: which host may run a request under a key, and what a retry of
+/// that request gets.
 ///
-/// Pure: time, messages, log records and randomness come in as arguments; messages, records to
-/// append and decisions go out as values.
+/// The library does no I/O and reads no clock: callers pass in the time, messages, log records and
+/// random seeds, and take messages to send, records to append and decisions as values.
 
 #include "claims/impl/answer_store.hpp"
 #include "claims/impl/claim.hpp"
--- a/src/claims/impl/answer_store.cpp
+++ b/src/claims/impl/answer_store.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Map node, list node, strings and the share of the hash table; about 420 bytes were measured.
+// Covers the map node, list node, strings and hash table slot of an entry: about 420 bytes.
 constexpr std::size_t entry_overhead = 448;
 
 std::size_t size_of(const claim_id& id, const retained_answer& answer) {
--- a/src/claims/impl/answer_store.hpp
+++ b/src/claims/impl/answer_store.hpp
@@ -10,33 +10,34 @@
 
 namespace sedgechute {
 
-/// \brief An answer, or how far a streamed one has come.
+/// \brief A complete answer, or the position of a streamed one that is still running.
 struct retained_answer {
   bool complete{};
   std::uint32_t attempt{};
   endpoint_id endpoint;
-  std::uint64_t position{}; ///< tokens passed on to the caller, while not complete
+  std::uint64_t position{}; ///< tokens sent to the caller, while not complete
   int status{};             ///< HTTP status, once complete
   std::string content_type;
   std::string body;
-  std::uint32_t run_attempt{}; ///< attempt under which the endpoint knows the run
+  std::uint32_t run_attempt{}; ///< attempt number under which the endpoint started the run
 
   bool operator==(const retained_answer&) const = default;
 };
 
-/// \brief Answers and stream positions within a memory bound. When it is full, the team that uses
-/// most of it loses its least recently used entry, so no team can evict the others'.
+/// \brief Stores answers and stream positions within a memory bound. When full, it evicts the least
+/// recently used entry of the team that uses the most memory, so that a team with many answers
+/// cannot evict those of other teams.
 class answer_store {
  public:
-  /// \param bytes  bound on everything stored, overhead included
-  /// \param largest  a body longer than this is not kept
+  /// \param bytes  bound on the memory of all entries, including overhead
+  /// \param max_body_bytes  answers with a longer body are not stored
   answer_store(std::size_t bytes, std::size_t max_body_bytes)
       : capacity_{bytes}, max_body_bytes_{max_body_bytes} {}
 
-  /// \brief Stores or advances an entry. A complete answer is never replaced by a position, nor a
-  /// later attempt's by an earlier one's.
+  /// \brief Inserts or updates an entry. A position never replaces a complete answer, and an
+  /// earlier attempt never replaces a later one.
   void put(const claim_id& id, const retained_answer& answer);
-  /// \returns the entry, or null; makes it the most recently used one of its team
+  /// \returns the entry, or null; marks it as the most recently used entry of its team
   [[nodiscard]] const retained_answer* find(const claim_id& id);
 
   [[nodiscard]] std::size_t bytes() const noexcept { return used_; }
--- a/src/claims/impl/claim_client.cpp
+++ b/src/claims/impl/claim_client.cpp
@@ -80,7 +80,7 @@
 void claim_client::on_verdict(time_ms now, open_request& request, const claim_reply& reply) {
   switch (reply.verdict) {
   case claim_verdict::running:
-    // A claim of this host that does not run here is about to start or to be given up.
+    // An attempt of this host that isn't running here is either about to start or being given back.
     if (!reply.current || (reply.current->entry == self_ && running(request.subject.id) == nullptr))
       return;
     decisions_->push_back({request.subject.ticket, join_decision{reply.current->entry}});
@@ -118,8 +118,8 @@
   request.step = phase::running;
   request.next_copy = now;
   running_[subject.id] = subject.ticket;
-  // The earlier attempt's place goes to this attempt's peer at once, so that it survives this host
-  // too.
+  // The earlier attempt's position is copied to this attempt's peer immediately, so that it isn't
+  // lost if this host dies.
   request.position.attempt = subject.attempt;
   if (!request.position.endpoint.empty() && !subject.peer.host.empty())
     send(subject.peer, replica_put{subject.ticket, subject.id, request.position});
@@ -162,10 +162,10 @@
     end(now, *request, request_state::abandoned);
 }
 
-// The caller may be told `not run` only if nothing ran under the key at some instant of this call.
-// For a claim that nobody can have been given besides, that is so from the start. An idempotent
-// request may have been given to another host while this one was paused and believed dead, so the
-// holder and its witness have to confirm that this attempt is still the latest one.
+// A refusal may report `not run` only if at some time during this call nothing had run under the
+// key. That holds if no other host can have been granted the key. An idempotent request may have
+// been granted to another host while this one was paused and believed dead, so holder and witness
+// must first confirm that this attempt is still the latest one.
 void claim_client::finish_refused(time_ms now, std::uint64_t ticket, error_kind kind) {
   const open_request* request = find_running(ticket);
   if (request == nullptr) {
@@ -199,8 +199,8 @@
   reporter_.add(now, std::move(ended));
 }
 
-// The holder may have granted this ticket, or may do so when a late copy of the request arrives.
-// Attempt 0 gives back whatever was granted.
+// The holder may have granted this ticket, or may grant it when a late copy of the request arrives.
+// Reporting attempt 0 gives the grant back.
 void claim_client::end_ungranted(time_ms now, const open_request& request, bool asked) {
   const std::uint64_t ticket = request.subject.ticket;
   ended_claim ended{request.shard, request.subject};
@@ -244,8 +244,8 @@
   else if (now < request.deadline)
     ask(now, request);
   else
-    // Whoever decides for the key can't be reached. An attempt under it may run elsewhere, unless
-    // the key was minted for this very request and nobody else has seen it.
+    // The holder is unreachable. An attempt under the key may run elsewhere, unless the key was
+    // minted for this request and no other request can use it.
     give_up(now, request, request.fresh ? error_kind::not_ready : error_kind::outcome_unknown);
 }
 
--- a/src/claims/impl/claim_client.hpp
+++ b/src/claims/impl/claim_client.hpp
@@ -7,8 +7,8 @@
 
 namespace sedgechute {
 
-/// \brief What a host does for the requests that arrived at it: asks the holder, waits a bounded
-/// time, runs, and gives up truthfully.
+/// \brief Obtains claims for the requests that arrived at this host. It asks the shard's holder,
+/// decides within a bounded time, and never refuses a request as `not run` that may have run.
 class claim_client {
  public:
   claim_client(incarnation self, data_centre_id data_centre, const claims_options& options,
@@ -27,25 +27,25 @@
   void on_replica_put(const incarnation& from, const replica_put& put);
   void on_replica_fetch(const incarnation& from, const replica_fetch& fetch);
   void on_replica_reply(time_ms now, const replica_reply& reply);
-  /// \brief Asks and reports again at once where the shard's holder has changed.
-  /// \param lacks_claims  the new holder knows nothing of what runs here unless it is told
+  /// \brief Repeats requests and reports to the shard's new holder.
+  /// \param lacks_claims  the new holder doesn't know the attempts that run here
   void on_new_epoch(time_ms now, const claim_shard& shard, bool lacks_claims);
   void tick(time_ms now);
 
-  /// \returns whether nothing is waited for, runs, or is still to be reported
+  /// \returns whether no request is undecided or running and no report is pending
   [[nodiscard]] bool idle() const { return open_.empty() && reporter_.idle(); }
   [[nodiscard]] std::size_t open_requests() const noexcept { return open_.size(); }
   [[nodiscard]] claim_reporter& reporter() noexcept { return reporter_; }
   [[nodiscard]] answer_store& answers() noexcept { return answers_; }
   [[nodiscard]] const answer_store& answers() const noexcept { return answers_; }
-  /// \returns the attempt that runs here under `id`, or null
+  /// \returns the attempt that runs on this host under `id`, or null
   [[nodiscard]] const claim* running(const claim_id& id) const;
 
  private:
   enum class phase {
     asking,   ///< the holder has not decided yet
     fetching, ///< the holder has decided; an earlier attempt's answer or position is being fetched
-    running,  ///< the daemon runs it
+    running,  ///< a decision to proceed was given
   };
 
   struct open_request {
@@ -57,12 +57,12 @@
     bool granted{};
     phase step{phase::asking};
     std::uint64_t epoch{};
-    time_ms deadline; ///< of the present step
+    time_ms deadline; ///< of the current step
     time_ms next_send;
-    time_ms due;                       ///< when this request is looked at next
+    time_ms due;                       ///< time of the next action, unless running
     time_ms next_copy;                 ///< to the peer, while running
-    retained_answer position;          ///< while running; the found one while fetching
-    std::vector<incarnation> awaiting; ///< hosts whose copy is still awaited
+    retained_answer position;          ///< while running; while fetching, the best copy found
+    std::vector<incarnation> awaiting; ///< hosts that have not yet replied with their copy
   };
 
   void ask(time_ms now, open_request& request);
--- a/src/claims/impl/claim_client_replicas.cpp
+++ b/src/claims/impl/claim_client_replicas.cpp
@@ -1,5 +1,5 @@
-// The second copies of answers and places: with which peer they are kept, and how a retry gets
-// them.
+// Copies of answers and stream positions: choice of the peer that stores them, and fetching them
+// for a retry.
 
 #include "claims/impl/claim_client.hpp"
 
@@ -65,7 +65,7 @@
     give_up(now, request, error_kind::outcome_unknown);
     return;
   }
-  // The answer is gone from both places, but running an idempotent request again does no harm.
+  // Neither host has the answer any more, but an idempotent request may safely run again.
   request.answer_lost = true;
   request.step = phase::asking;
   request.deadline = now + options_.begin_timeout;
@@ -78,9 +78,9 @@
     send(from, replica_stored{put.ticket});
 }
 
-// A host that hears of the claim anyway is the best peer: what it is sent as peer travels in the
-// messages that it is sent as holder or witness, and if this host dies, the one that decides has
-// the answer as well. Another data centre may be cut off.
+// The shard's holder or witness is preferred as peer: copies are bundled with the other messages to
+// it, and if this host dies, the host that decides on the retry also has the answer. The peer must
+// be in this data centre because another one may be cut off.
 incarnation claim_client::choose_peer(const claim_id& id, const claim_shard& shard) const {
   if (const shard_status* status = shards_->find(shard)) {
     const incarnation& involved = status->holder == self_ ? status->witness : status->holder;
--- a/src/claims/impl/claim_host.cpp
+++ b/src/claims/impl/claim_host.cpp
@@ -64,8 +64,8 @@
       message);
 }
 
-// Often the entry host is the holder, or the holder the new entry host: what it sends to itself
-// never reaches the network.
+// This host is often entry host and holder or witness of the same claim. Messages to itself are
+// delivered directly, without the network.
 void claim_host::deliver_local(time_ms now) {
   for (std::size_t i = 0; i < messages_.size(); ++i) {
     if (!same_process(messages_[i].to, self_))
@@ -97,7 +97,7 @@
   deliver_local(now);
 }
 
-// A shard that this host holds itself needs one message less, so it is preferred.
+// Shards held by this host are preferred because they save a message to another holder.
 std::optional<std::string> claim_host::mint_key(time_ms) {
   std::vector<const shard_status*> held;
   std::vector<const shard_status*> usable;
--- a/src/claims/impl/claim_key.cpp
+++ b/src/claims/impl/claim_key.cpp
@@ -18,7 +18,7 @@
   return !text.empty() && result.ec == std::errc{} && result.ptr == end;
 }
 
-// The data centre's name may contain dots, so the numbers are taken off the end.
+// Parses from the end because the name of the data centre may contain dots.
 std::string_view take_last_field(std::string_view& text) {
   const std::size_t dot = text.rfind('.');
   if (dot == std::string_view::npos)
--- a/src/claims/impl/claim_reporter.cpp
+++ b/src/claims/impl/claim_reporter.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// How long an ungranted ticket is remembered after its report was acknowledged. A grant that
-// arrives later than this leaves the key claimed by an attempt that never runs: retries are then
-// told `outcome unknown`, which is safe.
+// How long an ungranted ticket is kept after its report was acknowledged. A grant that arrives
+// later leaves the key claimed by an attempt that never runs; retries then get `outcome unknown`,
+// which is safe.
 constexpr time_ms late_grant_window{60000};
 constexpr time_ms max_report_interval{16000};
 
@@ -43,15 +43,15 @@
     output_->push_back({status->holder, claim_report{subject}});
   if (ended.request.copied)
     return;
-  // The copy is what a retry finds when this host has died, so it is repeated like the report.
+  // A retry needs the copy if this host dies, so the copy is repeated like the report.
   const retained_answer* answer = answers_->find(subject.id);
   ended.request.copied = answer == nullptr || !hosts_->is_live(subject.peer);
   if (!ended.request.copied)
     output_->push_back({subject.peer, replica_put{subject.ticket, subject.id, *answer}});
 }
 
-// The attempt will never be dispatched here, and the holder must learn it, or the key would stay
-// claimed. A grant that was seen before is a repeat.
+// The attempt will never be dispatched. The holder must be informed, or the key would stay claimed.
+// A second grant of the same ticket is a repeated message and is ignored.
 void claim_reporter::on_late_grant(time_ms now, const claim_reply& reply) {
   const auto found = ended_.find(reply.ticket);
   if (found == ended_.end() || found->second.request.granted)
--- a/src/claims/impl/claim_reporter.hpp
+++ b/src/claims/impl/claim_reporter.hpp
@@ -12,19 +12,20 @@
 
 namespace sedgechute {
 
-/// \brief A request of this host that runs no more, or never will.
+/// \brief A request of this host that has ended or will never run.
 struct ended_claim {
   claim_shard shard;
-  claim subject;     ///< attempt 0 if no grant was seen
-  bool granted{};    ///< the holder's grant was seen
-  bool asked{true};  ///< the holder may have granted it
+  claim subject;     ///< attempt 0 if no grant was received
+  bool granted{};    ///< the holder's grant was received
+  bool asked{true};  ///< a claim was requested, so the holder may have granted it
   bool copied{true}; ///< the peer needs no copy of the answer
-  /// The refusal to be told once holder and witness confirm that no later attempt was granted.
+  /// Refusal to return to the caller once holder and witness confirm that no later attempt was
+  /// granted.
   std::optional<error_kind> unconfirmed{};
 };
 
-/// \brief Tells the holder how attempts ended, and the peer what was answered, until both have
-/// acknowledged it; gives back grants that arrive after their request was refused.
+/// \brief Reports the end of attempts to the holder and sends answers to the peer, until both have
+/// acknowledged. Gives back grants that arrive after their request was refused.
 class claim_reporter {
  public:
   claim_reporter(const claims_options& options, const shard_map& shards, const host_list& hosts,
@@ -32,16 +33,16 @@
                  std::vector<claim_decision>& decisions);
 
   void add(time_ms now, ended_claim ended);
-  /// \brief A grant for a request that may have ended already.
+  /// \brief Gives back a grant if its request has already ended.
   void on_late_grant(time_ms now, const claim_reply& reply);
   void on_report_ack(const claim_report_ack& ack);
   void on_replica_stored(const replica_stored& stored);
-  /// \brief Reports again at once to the new holder.
+  /// \brief Repeats unacknowledged reports to the new holder.
   void on_new_epoch(time_ms now, const claim_shard& shard);
   void tick(time_ms now);
 
-  /// \returns whether everything is acknowledged, or has been tried for `report_timeout`. What is
-  /// lost then costs retries an `outcome unknown`, never a second run.
+  /// \returns whether every report is acknowledged or was repeated for `report_timeout`. If a
+  /// report is lost, retries get `outcome unknown`, but never a second run.
   [[nodiscard]] bool idle() const;
   [[nodiscard]] std::size_t size() const noexcept { return ended_.size(); }
 
--- a/src/claims/impl/claim_rules.cpp
+++ b/src/claims/impl/claim_rules.cpp
@@ -60,7 +60,7 @@
     return key_reused;
   const bool same_ticket =
       known.entry == request.wanted.entry && known.ticket == request.wanted.ticket;
-  // A late copy of a request whose attempt has ended already.
+  // A late copy of a request whose attempt has already ended.
   if (same_ticket && is_final(known.state))
     return std::nullopt;
   switch (known.state) {
@@ -75,7 +75,7 @@
   default:
     break;
   }
-  // The grant's answer was lost, and the request for it came again.
+  // The reply with the grant was lost, and the request was repeated.
   if (same_ticket)
     return granted;
   if (basis.is_live(known.entry))
@@ -86,7 +86,7 @@
 namespace {
 
 // The attempt was granted under an epoch whose holder and witness are lost, and this holder learns
-// of it from the host that ran it. A later attempt may have been granted there as well.
+// of it only from the entry host. A later attempt may have been granted under that epoch too.
 report_step adopt(const claim& subject) {
   return {report_action::propose, assume_may_have_run(subject)};
 }
@@ -117,7 +117,7 @@
     return {report_action::acknowledge, {}, false};
   if (may_become(latest.state, subject.state))
     return {report_action::propose, subject};
-  // Repeats are acknowledged only once the witness has stored what they say.
+  // A repeated report is acknowledged only after the witness has stored the reported state.
   if (stored->proposed)
     return {};
   return {report_action::acknowledge, {}, latest.state == subject.state};
--- a/src/claims/impl/claim_table.cpp
+++ b/src/claims/impl/claim_table.cpp
@@ -124,7 +124,7 @@
                      [&](const auto& item) { return stored_key_of(item.first.key) == key; });
 }
 
-// A whole pass over a large table would keep every request of the host waiting.
+// Incremental, because a pass over all of a large table would delay every request of the host.
 void claim_table::sweep(std::size_t parts, const expiry_predicate& over) {
   const std::size_t buckets = claims_.bucket_count();
   std::vector<stored_key> forgotten;
--- a/src/claims/impl/claim_table.hpp
+++ b/src/claims/impl/claim_table.hpp
@@ -11,17 +11,17 @@
 
 namespace sedgechute {
 
-/// \brief A state of a claim that waits for the witness.
+/// \brief A state of a claim that the witness has not yet accepted.
 struct proposed_claim {
   claim next;
   std::uint64_t serial{};
 };
 
-/// \brief The claims of one shard. Copies of a claim are ordered by attempt, then by progress, so
-/// holder, witness and late messages merge to the same state in any order.
+/// \brief The claims of one shard. States of a claim are ordered by attempt, then by progress, so
+/// that merging them gives the same result in any order.
 class claim_table {
  public:
-  /// \brief Decides whether a claim may be forgotten.
+  /// \brief Returns whether a claim may be removed.
   using expiry_predicate = std::function<bool(const stored_key&, const packed_claim&)>;
 
   explicit claim_table(claim_pool& pool) : pool_{&pool} {}
@@ -29,28 +29,29 @@
   claim_table& operator=(const claim_table&) = delete;
   ~claim_table();
 
-  /// \returns what is known under the key, nothing if the key is not stored
+  /// \returns the stored states of the claim, or nothing if there are none
   [[nodiscard]] std::optional<stored_claim> find(const claim_id& id) const;
-  /// \brief Takes in a countersigned state unless a later one is known.
+  /// \brief Stores a countersigned state unless a later one is stored.
   /// \returns whether the stored state is now `subject`
   bool merge(time_ms now, const claim& subject);
-  /// \brief Takes in a claim of an earlier epoch that this table began without.
+  /// \brief Merges a claim of an earlier epoch that was unknown when this table was created.
   void merge_recovered(time_ms now, const claim& subject);
-  /// \brief Later attempts may have been granted that this table doesn't know.
+  /// \brief Marks all claims because later attempts may have been granted that this table lacks.
   void assume_all_may_have_run();
-  /// \returns all claims, their keys as `text_of` writes them: the texts are not stored
+  /// \returns all claims; their keys are in the form written by `text_of`, since texts are not
+  /// stored
   [[nodiscard]] std::vector<claim> committed() const;
 
-  /// \param serial  a number that this host has given to no other proposal
+  /// \param serial  number of the proposal, unique on this host
   void propose(time_ms now, const claim& next, std::uint64_t serial);
   void withdraw(const claim_id& id);
   void withdraw_all();
   /// \returns the proposal, or null if it was withdrawn or replaced by a later one
   [[nodiscard]] const claim* proposed(std::uint64_t serial) const;
-  /// \returns the proposals last returned at least `interval` ago
+  /// \returns the proposals that were proposed or last returned at least `interval` ago
   [[nodiscard]] std::vector<proposed_claim> due_proposals(time_ms now, time_ms interval);
 
-  /// \brief Looks at the next `1 / parts` of the table and forgets what is over.
+  /// \brief Checks the next `1 / parts` of the table and removes its expired claims.
   void sweep(std::size_t parts, const expiry_predicate& over);
 
  private:
@@ -66,7 +67,7 @@
   void erase(claims::const_iterator place);
 
   claim_pool* pool_;
-  claims claims_; ///< of all teams that use the key
+  claims claims_; ///< a key may occur once per team
   std::map<claim_id, proposal> proposals_;
   std::unordered_map<std::uint64_t, claim_id> proposal_ids_; ///< by serial
   std::size_t next_bucket_{0};
--- a/src/claims/impl/claims_record.hpp
+++ b/src/claims/impl/claims_record.hpp
@@ -7,28 +7,29 @@
 
 namespace sedgechute {
 
-/// \brief Hands a shard to a holder and a witness. Valid where it stands in the log if it replaces
-/// the shard's epoch there; its offset is then the new epoch.
+/// \brief Assigns a shard to a holder and a witness. Valid only if `replaces` is the shard's epoch
+/// at this offset of the log; the offset is then the new epoch.
 struct claim_delegation {
   claim_shard shard;
-  std::uint64_t replaces{}; ///< epoch, 0 for a shard that has none
+  std::uint64_t replaces{}; ///< epoch to replace, 0 for a shard without one
   incarnation holder;
-  incarnation witness;         ///< an empty host if the holder is alone
-  std::uint64_t known_since{}; ///< epoch from which on the holder knows all claims; 0: this one
+  incarnation witness;         ///< `host` is empty if there is no witness
+  std::uint64_t known_since{}; ///< the holder knows all claims since this epoch; 0: the new one
 
   bool operator==(const claim_delegation&) const = default;
 };
 
-/// \brief Moves the shard's mark, by which the age of minted keys is told. Valid if it replaces the
-/// mark where it stands.
+/// \brief Advances the shard's mark, which determines the age of minted keys. Valid only if
+/// `replaces` is the mark at this offset of the log; the offset is then the new mark.
 struct claim_rotation {
   claim_shard shard;
-  std::uint64_t replaces{}; ///< mark
+  std::uint64_t replaces{}; ///< mark to replace
 
   bool operator==(const claim_rotation&) const = default;
 };
 
-/// \brief A record of the stream `fleet`. Repeating one is harmless: the repeat replaces nothing.
+/// \brief A record of the log stream `fleet`. A repeated record has no effect, because the epoch or
+/// mark that it replaces is no longer the current one.
 struct claims_record {
   std::uint64_t id{}; ///< random
   std::variant<claim_delegation, claim_rotation> body;
@@ -36,24 +37,24 @@
   bool operator==(const claims_record&) const = default;
 };
 
-/// \brief What replay knows of one shard.
+/// \brief The state of one shard after replaying the log.
 struct shard_status {
   claim_shard shard;
-  std::uint64_t epoch{};
-  std::uint64_t mark{};
+  std::uint64_t epoch{}; ///< log offset of the last valid delegation
+  std::uint64_t mark{};  ///< log offset of the last valid delegation or rotation
   incarnation holder;
   incarnation witness;
-  std::uint64_t known_since{};
-  std::vector<std::uint64_t> rotations; ///< newest marks, oldest first
-  bool claims_unknown{};                ///< claims of a lost epoch may be unknown to the holder
-  std::uint64_t unknown_from{};  ///< claims between this epoch and `known_since` may be unknown
-  std::vector<incarnation> lost; ///< of lost epochs, not yet proven to have ended
-  time_ms unknown_since;         ///< local time from which nobody can act under a lost epoch
+  std::uint64_t known_since{};          ///< the holder knows all claims since this epoch
+  std::vector<std::uint64_t> rotations; ///< the newest marks, oldest of them first
+  bool claims_unknown{};                ///< the holder may lack claims of a lost epoch
+  std::uint64_t unknown_from{};         ///< the holder may lack claims from here to `known_since`
+  std::vector<incarnation> lost;        ///< hosts of lost epochs that are not proven to have ended
+  time_ms unknown_since; ///< with `lost` empty: local time since which none acts under a lost epoch
 
   bool operator==(const shard_status&) const = default;
 };
 
-/// \brief The shards, for a checkpoint of the log.
+/// \brief All shards, as part of a checkpoint of the log.
 struct claims_snapshot {
   std::vector<shard_status> shards;
 
--- a/src/claims/impl/delegation_policy.cpp
+++ b/src/claims/impl/delegation_policy.cpp
@@ -26,11 +26,11 @@
 
 delegation_policy::delegation_policy(incarnation self, data_centre_id data_centre,
                                      const claims_options& options, const shard_map& shards,
-                                     host_list& hosts, shard_server& server,
-                                     std::uint64_t seed, std::vector<claims_record>& records)
+                                     host_list& hosts, shard_server& server, std::uint64_t seed,
+                                     std::vector<claims_record>& records)
     : self_{std::move(self)}, data_centre_{std::move(data_centre)}, options_{options},
-      shards_{&shards}, hosts_{&hosts}, shard_server_{&server}, random_{seed},
-      records_{&records}, creatable_shards_{shards_of(data_centre_, options)} {}
+      shards_{&shards}, hosts_{&hosts}, shard_server_{&server}, random_{seed}, records_{&records},
+      creatable_shards_{shards_of(data_centre_, options)} {}
 
 void delegation_policy::tick(time_ms now) {
   if (!first_evaluation_) {
@@ -48,7 +48,7 @@
     evaluate_shard(now, status);
   if (now >= next_balance_) {
     const auto interval = static_cast<std::uint64_t>(options_.balance_interval.count());
-    // At different times on different hosts, so that each sees what the others have moved.
+    // Randomised, so that hosts balance at different times and see the moves of the others.
     next_balance_ =
         now + time_ms{static_cast<std::int64_t>(interval / 2 + random_.below(interval))};
     balance(now);
@@ -81,8 +81,8 @@
     return;
   if (is_missing(now, status.witness, options_.replacement_wait) || !is_usable(status.witness)) {
     const incarnation witness = pick_witness(status.shard, self_);
-    // A holder whose witness is lost grants nothing until it has read of another one. Without any
-    // other host it goes on alone.
+    // A holder whose witness is lost grants nothing until it has read the record of another one. If
+    // there is no other host, it continues without a witness.
     const bool alone =
         hosts_->all().size() <= 1 && is_missing(now, status.witness, options_.single_host_wait);
     if (witness != status.witness && (!witness.host.empty() || alone)) {
@@ -100,8 +100,8 @@
   rotate_if_due(now, status);
 }
 
-// The holder may only be paused or cut off from here, so the epoch is sealed first: whatever the
-// holder does when it wakes up, its next claim is refused.
+// The missing holder may only be paused or cut off from this host, so the epoch is sealed first:
+// when the holder resumes, its next claim is refused.
 void delegation_policy::evaluate_as_witness(time_ms now, const shard_status& status) {
   if (!shard_server_->is_sealed(status.shard)) {
     const bool alone = hosts_->all().size() <= 1;
@@ -117,11 +117,12 @@
           claim_delegation{status.shard, status.epoch, self_, witness, known_since});
 }
 
-// The two are only believed to be lost, so the new epoch knows nothing of what they granted and may
-// still grant. Only a host of the same data centre begins one: seen from elsewhere they may merely
-// be cut off, and their data centre would lose its holder for nothing. It needs a witness, and does
-// not do so again soon, or two parts of a data centre that reach the log but not each other would
-// take the shard from each other for ever. Once both have provably ended, any host may.
+// Holder and witness are only believed lost, so the new epoch lacks the claims that they granted
+// and may still grant. Only a host of their data centre may begin such an epoch: for other data
+// centres they may merely be cut off, and their own would lose its holder for no reason. The new
+// holder needs a witness, and `empty_epoch_interval` must pass between such epochs. Otherwise two
+// parts of a data centre that reach the log but not each other would keep taking the shard from
+// each other. Once both are proven to have ended, any host may begin the epoch.
 void delegation_policy::evaluate_lost(time_ms now, const shard_status& status) {
   const bool both_missing = is_missing(now, status.holder, options_.pair_replacement_wait) &&
                             is_missing(now, status.witness, options_.pair_replacement_wait);
@@ -173,7 +174,7 @@
   return true;
 }
 
-// Hosts that start later, or come back, get their share one shard at a time.
+// Moves one shard at a time to hosts with fewer of them, such as those that started later.
 void delegation_policy::balance(time_ms now) {
   if (draining_)
     return;
@@ -196,8 +197,8 @@
   }
 }
 
-// The loads change with every record that is read, and so does the witness chosen. One that was
-// proposed before is as good while it is there, and the log is spared a record for each change.
+// The choice of a witness changes with the loads, that is, with every record read. While the
+// witness of the previous proposal is usable, that proposal is repeated, which saves log records.
 delegation_policy::record_body delegation_policy::reuse_witness(const proposal& earlier,
                                                                 const record_body& wanted) const {
   const auto* before = std::get_if<claim_delegation>(&earlier.record.body);
@@ -209,8 +210,8 @@
   return same == *before ? record_body{same} : wanted;
 }
 
-// An append's answer says nothing: it may be lost after the record was stored. The same record is
-// appended until the shard's status, read back from the log, has moved on.
+// The result of an append isn't reliable, because it may be lost after the record was stored. The
+// same record is appended repeatedly until the shard's status read back from the log has changed.
 void delegation_policy::propose(time_ms now, const claim_shard& shard, const record_body& wanted) {
   const auto found = proposals_.find(shard);
   const record_body body =
@@ -239,10 +240,10 @@
   return here.empty() ? elsewhere : here;
 }
 
-// A host that is lost leaves shards with many holders, and each looks for another witness at the
-// same instant. If all took the one with the least to do, it would get everything. Of two hosts
-// that the shard's name picks, the one with less to do is taken: that spreads nearly as well as
-// asking all, and different shards ask different hosts.
+// After the loss of a host, many holders choose a new witness at the same time. If all chose the
+// least loaded host, it would get every shard. Instead, rendezvous hashing of the shard's name
+// yields two hosts, and the less loaded one is chosen. This balances nearly as well as choosing
+// among all hosts, and different shards compare different hosts.
 incarnation delegation_policy::pick_witness(const claim_shard& shard, const incarnation& holder) {
   const std::uint64_t name = stable_hash(shard_name(shard));
   std::vector<const live_host*> possible = possible_witnesses(holder);
@@ -259,11 +260,12 @@
   return best == last ? incarnation{} : (*best)->who;
 }
 
-// Were it the one with the least to do, every holder with a heavy witness would give it a shard in
-// the same few seconds. It would be the heaviest then, and shards would move for ever.
+// Chooses the less loaded of two random candidates. If it were the least loaded of all, every
+// holder with a heavily loaded witness would give it a shard within seconds. It would then be the
+// most loaded one, and shards would keep moving.
 incarnation delegation_policy::less_loaded_witness(std::size_t than) {
   std::vector<const live_host*> possible = possible_witnesses(self_);
-  constexpr std::size_t margin = 2; // so that a move never makes the new one the heavier
+  constexpr std::size_t margin = 2; // a move must not make the new witness the more loaded one
   std::erase_if(possible,
                 [&](const auto* host) { return load_of(host->who).sum() + margin >= than; });
   if (possible.empty())
--- a/src/claims/impl/delegation_policy.hpp
+++ b/src/claims/impl/delegation_policy.hpp
@@ -7,8 +7,8 @@
 
 namespace sedgechute {
 
-/// \brief Proposes by log records who decides for which shard. Nothing takes effect before it is
-/// read back from the log, where the first record to replace the present epoch wins.
+/// \brief Proposes holders and witnesses of shards as log records. A proposal takes effect when it
+/// is read back from the log, where only the first record that replaces the current epoch is valid.
 class delegation_policy {
  public:
   delegation_policy(incarnation self, data_centre_id data_centre, const claims_options& options,
@@ -17,7 +17,7 @@
 
   void tick(time_ms now);
   void drain() noexcept { draining_ = true; }
-  /// \returns whether no shard needs this host any more
+  /// \returns whether this host holds and witnesses no shard, or is the only host
   [[nodiscard]] bool drained() const;
 
  private:
@@ -49,7 +49,8 @@
   void propose(time_ms now, const claim_shard& shard, const record_body& wanted);
   [[nodiscard]] record_body reuse_witness(const proposal& earlier, const record_body& wanted) const;
   [[nodiscard]] incarnation pick_witness(const claim_shard& shard, const incarnation& holder);
-  /// \returns a host with less to do than `than` roles, an empty one if there is none
+  /// \returns a host with at least three roles fewer than `than`, with an empty name if there is
+  /// none
   [[nodiscard]] incarnation less_loaded_witness(std::size_t than);
   [[nodiscard]] std::vector<const live_host*> possible_witnesses(const incarnation& holder) const;
   [[nodiscard]] bool is_initiator(const claim_shard& shard, const data_centre_id& among) const;
@@ -65,9 +66,9 @@
   shard_server* shard_server_;
   random_source random_;
   std::vector<claims_record>* records_;
-  std::vector<claim_shard> creatable_shards_; ///< those that a host of this data centre may begin
+  std::vector<claim_shard> creatable_shards_; ///< shards that a host of this data centre may create
   std::map<claim_shard, proposal> proposals_;
-  std::map<incarnation, load> loads_; ///< of this tick, empty until asked for
+  std::map<incarnation, load> loads_; ///< of this tick, computed on first use
   std::map<claim_shard, seen_number> marks_;
   std::map<claim_shard, seen_number> epochs_;
   std::optional<time_ms> first_evaluation_;
--- a/src/claims/impl/due_tickets.hpp
+++ b/src/claims/impl/due_tickets.hpp
@@ -10,15 +10,16 @@
 
 namespace sedgechute {
 
-/// \brief Which ticket is to be looked at when. A ticket may be added again with another instant;
-/// the owner passes over entries that are out of date.
+/// \brief A timer queue of tickets. A ticket may be added again with another time; the owner
+/// ignores entries that are out of date.
 class due_tickets {
  public:
   using entry = std::pair<time_ms, std::uint64_t>;
 
   void add(time_ms due, std::uint64_t ticket) { queue_.emplace(due, ticket); }
 
-  /// \returns the next entry that is due, if any
+  /// \brief Removes the earliest entry if it is due.
+  /// \returns that entry, or nothing
   [[nodiscard]] std::optional<entry> take(time_ms now) {
     if (queue_.empty() || queue_.top().first > now)
       return std::nullopt;
--- a/src/claims/impl/host_list.hpp
+++ b/src/claims/impl/host_list.hpp
@@ -7,7 +7,7 @@
 
 namespace sedgechute {
 
-/// \brief The live hosts, and since when others have been missing.
+/// \brief The live hosts, and the time at which others went missing.
 class host_list {
  public:
   void update(time_ms now, const std::vector<live_host>& hosts);
@@ -15,9 +15,10 @@
   [[nodiscard]] const std::vector<live_host>& all() const noexcept { return hosts_; }
   [[nodiscard]] const live_host* find(const incarnation& who) const;
   [[nodiscard]] bool is_live(const incarnation& who) const { return find(who) != nullptr; }
-  /// \returns where a host was when last seen, or null
+  /// \returns the data centre where a host was last seen, or null if it never was
   [[nodiscard]] const data_centre_id* last_data_centre(const host_id& host) const;
-  /// \returns how long `who` has been missing; counts from the first question if never seen
+  /// \returns how long `who` has been missing, 0 if live; for one that was never live, the time
+  /// since the first call
   [[nodiscard]] time_ms missing_for(time_ms now, const incarnation& who);
 
  private:
--- a/src/claims/impl/message_bundles.cpp
+++ b/src/claims/impl/message_bundles.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Four small messages of at most about 250 bytes fit a datagram that no network has to cut.
+// `max_claims_bundle` messages of up to about 250 bytes fit in a datagram without fragmentation.
 constexpr std::size_t max_small_body_bytes = 200;
 
 bool is_small(const claims_message& message) {
--- a/src/claims/impl/packed_claim.hpp
+++ b/src/claims/impl/packed_claim.hpp
@@ -9,10 +9,11 @@
 
 namespace sedgechute {
 
-/// \brief Small numbers for names that occur in many claims.
+/// \brief Maps names that occur in many claims to small consecutive numbers, to save memory.
 template <typename Name>
 class name_interner {
  public:
+  /// \returns the number of `name`, assigned on first use
   [[nodiscard]] std::uint32_t intern(const Name& name) {
     const auto [place, is_new] =
         numbers_.try_emplace(name, static_cast<std::uint32_t>(names_.size()));
@@ -20,7 +21,7 @@
       names_.push_back(name);
     return place->second;
   }
-  /// \returns the number if the name has one already
+  /// \returns the number of `name`, or null if it has none
   [[nodiscard]] const std::uint32_t* find(const Name& name) const {
     const auto found = numbers_.find(name);
     return found == numbers_.end() ? nullptr : &found->second;
@@ -38,7 +39,7 @@
   std::deque<Name> names_;
 };
 
-/// \brief What the tables of a host share: names, and counts for the bounds.
+/// \brief Names and counts of claims, shared by all claim tables of a host.
 struct claim_pool {
   name_interner<team_id> teams;
   name_interner<incarnation> hosts;
@@ -46,18 +47,18 @@
   std::size_t claims{0};
 };
 
-/// \brief What only claims have that were attempted more than once.
+/// \brief Fields of a claim that are set only from the second attempt on.
 struct earlier_attempts {
   std::uint32_t resume_from{};
   std::vector<std::uint32_t> unfinished;
 };
 
-/// \brief A claim without its key as it lies in memory; a host stores some hundred thousand.
+/// \brief A claim without its key, in compact form: a host stores some hundred thousand of them.
 struct packed_claim {
   std::uint64_t fingerprint{};
   std::uint64_t ticket{};
   std::unique_ptr<earlier_attempts> earlier; ///< null if there were none
-  std::uint32_t touched_s{}; ///< local time of the last change, the next whole second
+  std::uint32_t touched_s{}; ///< local time of the last change, rounded up to whole seconds
   std::uint32_t team{};
   std::uint32_t entry{};
   std::uint32_t peer{};
@@ -68,7 +69,7 @@
 };
 
 [[nodiscard]] packed_claim pack(const claim& unpacked, time_ms touched, claim_pool& pool);
-/// \param key  text of the key, which is not stored
+/// \param key  text of the key, which the packed form lacks
 [[nodiscard]] claim unpack(const packed_claim& packed, std::string key, const claim_pool& pool);
 [[nodiscard]] time_ms touched_at(const packed_claim& packed) noexcept;
 [[nodiscard]] request_state state_of(const packed_claim& packed) noexcept;
--- a/src/claims/impl/request_state.cpp
+++ b/src/claims/impl/request_state.cpp
@@ -10,8 +10,8 @@
 
 using enum request_state;
 
-// An unkeyed idempotent request needs no claim, so it goes from reserved to dispatched. Whatever
-// was claimed may have been dispatched by a host that then died, hence claimed to abandoned.
+// An idempotent request without a key needs no claim, so reserved may become dispatched. A claimed
+// attempt may have been dispatched by a host that then died, so claimed may become abandoned.
 constexpr std::array transitions{
     std::pair{accepted, reserved},    std::pair{accepted, claimed},
     std::pair{accepted, refused},     std::pair{reserved, claimed},
--- a/src/claims/impl/request_state.hpp
+++ b/src/claims/impl/request_state.hpp
@@ -4,10 +4,10 @@
 
 namespace sedgechute {
 
-/// \brief The life of one attempt to run a request.
+/// \brief The state of one attempt to run a request.
 enum class request_state {
   accepted,   ///< read and checked
-  reserved,   ///< its upper bound is set aside from the budget
+  reserved,   ///< the most tokens it can use are reserved from the budget
   claimed,    ///< its key is claimed for one entry host; may be dispatched from now on
   dispatched, ///< sent to an endpoint
   answered,   ///< ended with a complete answer
@@ -27,10 +27,10 @@
                                  {request_state::abandoned, "abandoned"}});
 };
 
-/// \returns whether one table of transitions allows `from` to become `to`
+/// \returns whether an attempt in state `from` may change to `to`
 [[nodiscard]] bool may_become(request_state from, request_state to) noexcept;
 
-/// \returns whether nothing follows on `state`
+/// \returns whether `state` has no successor
 [[nodiscard]] bool is_final(request_state state) noexcept;
 
 } // namespace sedgechute
--- a/src/claims/impl/shard_map.cpp
+++ b/src/claims/impl/shard_map.cpp
@@ -15,8 +15,8 @@
                                  const claim_delegation& delegation) {
   const auto found = shards_.find(delegation.shard);
   const std::uint64_t current = found == shards_.end() ? 0 : found->second.epoch;
-  // Two hosts may propose at once, and a repeated append may arrive long after. Only the first one
-  // to replace the present epoch counts.
+  // Two hosts may propose at the same time, and a repeated append may arrive much later. Only the
+  // first record that replaces the current epoch is valid.
   if (delegation.replaces != current || delegation.holder.host.empty() || offset <= current)
     return false;
   shard_status& status = shards_[delegation.shard];
@@ -27,16 +27,17 @@
       status.unknown_from = status.known_since;
     status.claims_unknown = true;
     status.unknown_since = now;
-    // Both were only believed to be lost. Cut off from the log, they may still claim keys under
-    // their epoch; until they are proven to have ended the new holder can't know which.
+    // Holder and witness are only suspected to have ended. If they are cut off from the log, they
+    // may still grant claims under their epoch, which the new holder doesn't know. This lasts until
+    // both are proven to have ended.
     const bool sealed = delegation.holder == status.witness || delegation.holder == status.holder;
     for (const incarnation& who : {status.holder, status.witness})
       if (!sealed && !who.host.empty() &&
           std::count(status.lost.begin(), status.lost.end(), who) == 0)
         status.lost.push_back(who);
   }
-  // The holder has got the table of an earlier epoch from a host that was wrongly believed to be
-  // lost and has stopped acting under it, so nothing is unknown any more.
+  // The holder has received the table of an earlier epoch from a host that was wrongly believed
+  // lost and no longer acts under that epoch, so the holder lacks no claims.
   if (knows_all && status.claims_unknown && delegation.known_since <= status.unknown_from) {
     status.claims_unknown = false;
     status.lost.clear();
@@ -78,7 +79,7 @@
   erase_ended(now, [&](const incarnation& lost) { return lost == who; });
 }
 
-// A host can be lost more than once, so a late message about an earlier epoch proves nothing.
+// A host can be lost repeatedly, so a late message about an earlier epoch proves nothing.
 void shard_map::note_stopped(time_ms now, const claim_shard& shard, std::uint64_t epoch,
                              const incarnation& who) {
   const auto found = shards_.find(shard);
@@ -88,7 +89,8 @@
     found->second.unknown_since = now;
 }
 
-// Stale gossip can show an old incarnation for a moment, so a successor counts only after a while.
+// Stale gossip can briefly show an old incarnation as running, so `has_ended` requires that the new
+// one is seen for `successor_wait`.
 void shard_map::note_running(time_ms now, const std::vector<live_host>& hosts) {
   const bool unchanged =
       hosts.size() == running_.size() &&
@@ -138,7 +140,7 @@
   for (const shard_status& status : snapshot.shards) {
     shard_status& restored = shards_[status.shard];
     restored = status;
-    // The instant was another host's; counting from now only lengthens the wait.
+    // The snapshot has the local time of another host. Restarting the wait only makes it longer.
     restored.unknown_since = now;
   }
 }
--- a/src/claims/impl/shard_map.hpp
+++ b/src/claims/impl/shard_map.hpp
@@ -7,32 +7,33 @@
 
 namespace sedgechute {
 
-/// \brief The shards as the log tells them. Every host that has read up to the same offset has the
-/// same epochs, holders and marks.
+/// \brief The state of all shards, replayed from the log. Hosts that have read up to the same
+/// offset have the same epochs, holders and marks.
 class shard_map {
  public:
   explicit shard_map(const claims_options& options) : options_{options} {}
 
-  /// \returns whether the record was valid where it stands
+  /// \returns whether the record was valid at its offset
   bool apply(time_ms now, std::uint64_t offset, const claims_record& record);
 
   [[nodiscard]] const shard_status* find(const claim_shard& shard) const;
   [[nodiscard]] const std::map<claim_shard, shard_status>& all() const noexcept { return shards_; }
 
-  /// \brief Notes that an incarnation can do nothing any more.
+  /// \brief Records that an incarnation has ended.
   void note_ended(time_ms now, const incarnation& who);
-  /// \brief Notes that `who` has read of the shard's present epoch and acts under no earlier one.
+  /// \brief Records that `who` has read the shard's current epoch and acts under no earlier one.
   void note_stopped(time_ms now, const claim_shard& shard, std::uint64_t epoch,
                     const incarnation& who);
-  /// \brief Notes which incarnations run now: one that is seen for `successor_wait` proves that all
-  /// others of its host have ended.
+  /// \brief Records the incarnations that are running. One that is seen for `successor_wait` proves
+  /// that all others of its host have ended.
   void note_running(time_ms now, const std::vector<live_host>& hosts);
 
-  /// \returns whether a successor proves that `who` can do nothing any more
+  /// \returns whether a later incarnation of its host proves that `who` has ended
   [[nodiscard]] bool has_ended(time_ms now, const incarnation& who) const;
-  /// \returns whether callers' keys that are not known here may have been claimed before
+  /// \returns whether the holder may lack claims on callers' keys that were granted under a lost
+  /// epoch
   [[nodiscard]] bool has_unknown_claims(time_ms now, const shard_status& status) const;
-  /// \returns the mark below which minted keys have expired
+  /// \returns the oldest retained mark; minted keys with a lower one have expired
   [[nodiscard]] std::uint64_t oldest_mark(const shard_status& status) const;
 
   [[nodiscard]] claims_snapshot snapshot() const;
--- a/src/claims/impl/shard_server.cpp
+++ b/src/claims/impl/shard_server.cpp
@@ -9,7 +9,7 @@
 
 constexpr time_ms cleanup_period{10000};
 constexpr time_ms sweep_period{100};
-constexpr std::size_t sweep_parts = 100; // so that a table is gone through in ten seconds
+constexpr std::size_t sweep_parts = 100; // a whole table in ten seconds
 
 } // namespace
 
@@ -24,8 +24,8 @@
   if (after.witness == self_) {
     local_shard& local = local_shard_for(after.shard);
     local.table.withdraw_all();
-    // A former holder may lack what the witness stored while its reply was lost, so even it needs
-    // the new holder's table to be complete.
+    // A former holder may lack a claim that its witness stored if the witness's reply was lost, so
+    // it also needs the whole table of the new holder.
     local.complete = before.witness == self_ && local.complete;
     local.from_holder = {};
     local.to_witness = {};
@@ -52,9 +52,9 @@
     ask_witness(now, after, wanted);
 }
 
-// Others may have held the shard in between. As holder this host grants nothing until it has begun
-// an epoch that says what it doesn't know; as witness it counts as having seen nothing before this
-// epoch.
+// Other hosts may have held the shard during the gap. As holder, this host grants nothing until it
+// has begun an epoch whose `known_since` excludes the gap. As witness, it counts as having no
+// claims from before this epoch.
 void shard_server::on_gap(const shard_status& after) {
   if (after.holder != self_ && after.witness != self_) {
     local_shards_.erase(after.shard);
@@ -82,7 +82,7 @@
   decision_basis basis;
   basis.stored = local.table.find(id);
   if (const auto minted = parse_key(id.key)) {
-    // The mark is newer than what this host has read: it can't judge the key yet.
+    // This host has not yet read the log up to the key's mark, so it can't decide.
     if (minted->mark > status->mark)
       return;
     basis.expired = minted->mark < shards_->oldest_mark(*status);
@@ -106,8 +106,8 @@
   }
   const bool repeated = basis.stored && basis.stored->committed &&
                         same_request(*basis.stored->committed, request.wanted);
-  // The witness of this epoch may not have a claim that was stored under an earlier one, so a
-  // repeated grant is countersigned again.
+  // A repeated grant is countersigned again, because the witness of this epoch may lack a claim
+  // that was stored under an earlier one.
   if (granted)
     propose(now, *status,
             repeated ? *basis.stored->committed : next_attempt(request, basis.stored));
@@ -129,9 +129,9 @@
     send(status.witness, countersign_request{status.epoch, wanted.next, wanted.serial});
 }
 
-// Failure guarded against: this host was paused, its holder replaced or its epoch sealed, and a
-// late request would still be stored and take effect. A request of another epoch than the present
-// one is refused, unless exactly this state was stored before: then only its reply was lost.
+// Only requests of the current, unsealed epoch are accepted. Otherwise a request that arrives after
+// this host was paused, and its holder replaced or the epoch sealed, would still take effect. The
+// exception is a state that is already stored: then only the reply to it was lost.
 void shard_server::on_countersign(time_ms now, const incarnation& from,
                                   const countersign_request& request) {
   const claim_shard shard = shard_of(request.subject.id, options_);
@@ -157,8 +157,8 @@
   send(from, std::move(answer));
 }
 
-// A proposal may have been replaced by a later state while the reply was on its way; the later one
-// has another serial, so the reply then tells nothing.
+// A proposal may have been replaced by a later state before the reply arrived. The later one has
+// another serial, so such a reply is ignored.
 void shard_server::on_countersigned(time_ms now, const countersign_reply& reply) {
   const shard_status* status = find_held(reply.shard);
   if (status == nullptr || status->epoch != reply.epoch)
@@ -182,7 +182,7 @@
 
 namespace {
 
-// The entry host knows the rest of such a claim, since it asked for it.
+// The entry host can rebuild such a claim from its request, so the reply leaves it out.
 bool is_as_asked(const claim& granted) {
   return granted.attempt == 1 && !granted.may_have_run && granted.unfinished.empty() &&
          granted.resume_from.host.empty();
@@ -264,9 +264,9 @@
   relinquished_.send_due(now, options_.report_interval, *shards_, transfer_limiter_, *output_);
 }
 
-// A minted key that has expired is told by its mark, so forgetting it is always safe. A caller's
-// key that is forgotten counts as new; that is the documented rule, but it must not happen while
-// the host that holds the claim may still dispatch it, however long it has been paused.
+// The mark of a minted key shows that it has expired, so its claim can always be removed. A
+// caller's key counts as new after its claim is removed, as documented. This must not happen while
+// the host with the claim may still dispatch it, no matter how long that host has been paused.
 void shard_server::forget_expired(time_ms now, const shard_status& status, local_shard& local) {
   const std::uint64_t oldest_mark = shards_->oldest_mark(status);
   const auto has_ended = [&](std::uint32_t who) {
--- a/src/claims/impl/shard_server_tables.cpp
+++ b/src/claims/impl/shard_server_tables.cpp
@@ -1,5 +1,4 @@
-// What a keeper knows of whole tables: which are complete, which are on their way, and which of
-// lost epochs come back.
+// Transfer of whole tables: to a new witness, and from hosts of lost epochs to the current holder.
 
 #include "claims/impl/shard_server.hpp"
 
@@ -7,9 +6,10 @@
 
 namespace sedgechute {
 
-// This host and its partner were wrongly believed to be lost, and others began an epoch that does
-// not know their claims. Having read of it, this host acts under the old epoch no more, and since
-// nothing could be granted there without it, its table is all that the new holder lacks.
+// Holder and witness, one of them this host, were wrongly believed lost, and other hosts began an
+// epoch that lacks their claims. After reading its record, this host no longer acts under the old
+// epoch. Nothing can be granted there without it, so its table has all claims that the new holder
+// lacks.
 void shard_server::relinquish(const shard_status& before, const shard_status& after) {
   relinquished_.on_delegation(self_, after);
   const auto local = local_shards_.find(after.shard);
@@ -41,14 +41,15 @@
 
 void shard_server::accept_recovered(time_ms now, const incarnation& from,
                                     const shard_status& status, const table_part& part) {
-  // Of several lost epochs the latest must be regained first, or its claims would be missed.
+  // Tables of several lost epochs are accepted latest first, or claims of the latest would be
+  // missed.
   if (part.until != status.known_since)
     return;
   local_shard& local = local_shard_for(part.shard);
   for (const claim& subject : part.claims)
     local.table.merge_recovered(now, subject);
   if (note_arrival(local.recovered[from], part) && local.recovered_since == 0) {
-    // The witness needs the whole table before the log may say that nothing is unknown.
+    // The witness needs the whole table before the log may record that no claims are missing.
     local.recovered_since = part.known_since;
     if (!status.witness.host.empty())
       local.to_witness = start_transfer(++last_transfer_, local.table.committed());
@@ -74,8 +75,8 @@
     apply_ack(local_shard_for(ack.shard).to_witness, ack);
 }
 
-// Until it is proven that this host can't act under a lost epoch, the holder must assume that it
-// does.
+// Until it is proven that this host no longer acts under a lost epoch, the holder must assume that
+// it does.
 void shard_server::send_epoch_seen(const shard_status& status) {
   if (std::find(status.lost.begin(), status.lost.end(), self_) == status.lost.end())
     return;
@@ -101,9 +102,9 @@
 
 bool shard_server::witness_is_complete(const claim_shard& shard) const {
   const auto found = local_shards_.find(shard);
-  // Failure guarded against: a holder that has lost track has sent nothing to its witness, so no
-  // part is left unacknowledged. It would hand over its shard as if all claims were known there,
-  // and keys would run a second time.
+  // A holder with a log gap has sent no table to its witness, so no part is unacknowledged and the
+  // transfer seems finished. Without this check it would hand over its shard as if the witness knew
+  // all claims, and keys would run a second time.
   return found != local_shards_.end() && find_held(shard) != nullptr && !found->second.log_gap &&
          is_finished(found->second.to_witness);
 }
--- a/src/claims/impl/stored_key.cpp
+++ b/src/claims/impl/stored_key.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// No key that came in a header begins with a control character.
+// Keys from HTTP headers can't begin with a control character, so this prefix is unambiguous.
 constexpr std::string_view stored_form = "\x01";
 constexpr int hexadecimal = 16;
 constexpr std::size_t number_digits = 16;
 
-// Independent of `stable_hash`: takes the text in words of eight bytes instead of single ones.
+// Independent of `stable_hash`: hashes words of eight bytes instead of single bytes.
 std::uint64_t second_hash(std::string_view text) {
   std::uint64_t hash = text.size();
   while (!text.empty()) {
--- a/src/membership/impl/member.hpp
+++ b/src/membership/impl/member.hpp
@@ -8,11 +8,12 @@
 
 namespace sedgechute {
 
-/// \brief What the fleet believes of one incarnation. At the same version the later value wins.
+/// \brief State of an incarnation as gossiped. Of two updates with equal version the later value
+/// wins.
 enum class member_state {
   alive,
-  suspect, ///< missed a probe; may still refute
-  dead,    ///< did not refute in time, was replaced, or stopped
+  suspect, ///< missed a probe; may still refute the suspicion
+  dead,    ///< didn't refute in time, was replaced, or stopped
 };
 
 template <>
@@ -22,19 +23,19 @@
                                                             {member_state::dead, "dead"}});
 };
 
-/// \brief One statement about one incarnation, as gossiped.
+/// \brief A gossiped update about one incarnation.
 struct member_update {
   incarnation who;
   data_centre_id data_centre;
   std::string address;     ///< peer address, `IP:port`
-  std::uint64_t version{}; ///< raised only by the incarnation itself, to refute
+  std::uint64_t version{}; ///< raised only by the incarnation itself, to refute an update
   member_state state{member_state::alive};
-  bool leaving{}; ///< stops after its streams; never taken back within an incarnation
+  bool leaving{}; ///< will stop after its streams end; never reset within an incarnation
 
   bool operator==(const member_update&) const = default;
 };
 
-/// \brief One host as others may use it.
+/// \brief A host in a `membership_view`.
 struct member {
   incarnation who;
   data_centre_id data_centre;
@@ -45,13 +46,14 @@
   bool operator==(const member&) const = default;
 };
 
-/// \brief The hosts that are not dead, this one among them, ordered by name; one incarnation each.
+/// \brief The hosts that are not dead, including this one, ordered by name, with one incarnation
+/// each.
 struct membership_view {
   std::uint64_t version{}; ///< changes only when `members` does
   std::vector<member> members;
 };
 
-/// \brief An entry host as the platform's lagging list names it.
+/// \brief An entry host in the platform's host list, which may be out of date.
 struct listed_host {
   host_id host;
   data_centre_id data_centre;
--- a/src/membership/impl/member_table.cpp
+++ b/src/membership/impl/member_table.cpp
@@ -36,9 +36,10 @@
     refute(update);
     return;
   }
-  // A host that was replaced under its old name would be suspected for seconds before it counts as
-  // dead. The new process knows better at once. Only a young process says so: two processes that
-  // share a name by mistake would otherwise declare each other dead for good.
+  // Without this rule, the old incarnation of a restarted host would be suspected for seconds
+  // before it counts as dead. The new process can be sure that it has ended. The rule is limited to
+  // the time after the start, or two processes with the same name by mistake would keep declaring
+  // each other dead.
   member_update believed = update;
   const bool predecessor = update.who.host == self_.who.host;
   if (predecessor && now - started_ < options_.joining_window)
@@ -52,7 +53,7 @@
 }
 
 void member_table::refute(const member_update& update) {
-  // Once this process has said that it stops, a statement that it is dead is true.
+  // After `stop`, an update that calls this process dead is correct.
   if (update.state == member_state::alive || update.version < self_.version ||
       self_.state == member_state::dead)
     return;
@@ -75,8 +76,8 @@
   suspect_other_incarnations(now, update.who);
 }
 
-// The numbers of incarnations are random, so they don't tell which of two is the newer one. Both
-// are probed: the running one refutes, the other can't.
+// Incarnation numbers are random, so they don't show which of two is newer. All are suspected; the
+// running one refutes the suspicion.
 void member_table::suspect_other_incarnations(time_ms now, const incarnation& who) {
   for (auto it = first_record_of(who.host); it != records_.end() && it->first.host == who.host;
        ++it)
@@ -246,7 +247,7 @@
   for (const auto& [who, known] : records_)
     if (known.latest.state != member_state::dead && who.host != self_.who.host)
       members.push_back(as_member(known.latest));
-  // Of two live incarnations of a host, the one that isn't suspected is shown.
+  // Of several incarnations of a host, one that isn't suspected comes first and is shown.
   std::sort(members.begin(), members.end(), [](const member& a, const member& b) {
     return std::tie(a.who.host, a.state, a.who.number) <
            std::tie(b.who.host, b.state, b.who.number);
@@ -271,7 +272,8 @@
   known.queued.reset();
 }
 
-// Every message carries what its sender says about itself, so this only asks for more messages.
+// Every message carries its sender's own state, so nothing is queued; the count causes extra
+// messages.
 void member_table::enqueue_self() {
   self_sends_left_ = sends_per_update();
 }
--- a/src/membership/impl/member_table.hpp
+++ b/src/membership/impl/member_table.hpp
@@ -9,56 +9,60 @@
 
 namespace sedgechute {
 
-/// \brief Everything known about incarnations, with the rules that merge statements about them and
-/// the queue of news still to be passed on.
+/// \brief The known incarnations, the rules for merging updates about them, and the queue of
+/// updates to gossip.
 class member_table {
  public:
   member_table(member_update self, const membership_options& options, std::uint64_t seed);
 
-  /// \brief Takes in one statement; a wrong one about this process is refuted.
-  /// \param disseminate  whether to pass it on; statements of a full exchange are mostly old
+  /// \brief Merges an update; refutes one that wrongly calls this process suspect or dead.
+  /// \param disseminate  whether to gossip it; those of a full exchange are mostly known already
   void merge(time_ms now, const member_update& update, bool disseminate = true);
-  /// \brief Starts the suspicion of a live member.
+  /// \brief Marks a live member as suspect.
   void suspect(time_ms now, const incarnation& who);
-  /// \brief Declares a member dead on proof, e.g. another incarnation answers at its address.
+  /// \brief Marks a member as dead. To be called on proof, e.g. an answer of another incarnation at
+  /// its address.
   void declare_dead(time_ms now, const incarnation& who);
   /// \brief Marks every live incarnation of a host as leaving.
   void mark_leaving(const host_id& host);
+  /// \brief Marks this process as leaving.
   void leave();
+  /// \brief Marks this process as dead.
   void stop();
 
-  /// \brief Turns unrefuted suspects into dead members and forgets old tombstones.
+  /// \brief Marks suspects as dead after the suspicion timeout and removes old tombstones.
   void expire(time_ms now);
-  /// \brief Gives every suspect `span` more, because this process could not hear refutations.
+  /// \brief Extends every suspicion by `span`, in which this process could not receive refutations.
   void postpone_suspicions(time_ms span);
 
   [[nodiscard]] const member_update& self() const noexcept { return self_; }
-  /// \returns the live members but this process, in the order in which they are to be probed
+  /// \returns the live and suspect members without this process, in probe order
   [[nodiscard]] const std::vector<incarnation>& live_others() const noexcept {
     return probe_order_;
   }
-  /// \returns what is known of `who`, or null
+  /// \returns the latest update about `who`, or null
   [[nodiscard]] const member_update* find(const incarnation& who) const;
   [[nodiscard]] bool host_is_live(const host_id& host) const;
-  /// \returns statements that call an incarnation of `host` dead
+  /// \returns updates about dead incarnations of `host`, at most `max_gossip_updates`
   [[nodiscard]] std::vector<member_update> dead_incarnations_of(const host_id& host) const;
-  /// \returns statements about every live member, this process left out
+  /// \returns updates about all live and suspect members without this process
   [[nodiscard]] std::vector<member_update> live_updates() const;
 
   [[nodiscard]] bool has_outgoing_updates() const noexcept {
     return self_sends_left_ > 0 || !outgoing_updates_.empty();
   }
-  /// \brief Takes up to `count` pieces of news; each is handed out a bounded number of times.
+  /// \brief Takes up to `count` queued updates. Each is returned a bounded number of times, so that
+  /// it reaches all members.
   [[nodiscard]] std::vector<member_update> take_outgoing_updates(std::size_t count);
 
-  /// \returns the view; its version moves only when a member or its state changed
+  /// \returns the current view; its version is raised only if a member or its state has changed
   [[nodiscard]] const membership_view& view();
 
  private:
   using update_queue = std::multimap<std::uint32_t, incarnation>;
   struct record {
     member_update latest;
-    time_ms since;                                ///< when the present state began
+    time_ms since;                                ///< start of the current state
     std::optional<update_queue::iterator> queued; ///< in `outgoing_updates_`
   };
   using records = std::map<incarnation, record>;
@@ -81,8 +85,7 @@
   records records_;
   std::vector<incarnation> probe_order_;
   std::vector<incarnation> suspects_;
-  update_queue
-      outgoing_updates_; ///< by how often each was passed on, so that fresh news comes first
+  update_queue outgoing_updates_; ///< by number of sends, so that new updates come first
   std::uint32_t self_sends_left_{0};
   time_ms next_cleanup_;
   time_ms started_;
--- a/src/membership/impl/membership.cpp
+++ b/src/membership/impl/membership.cpp
@@ -16,8 +16,8 @@
                        const membership_options& options, std::uint64_t seed)
     : table_{{std::move(self), std::move(data_centre), std::move(address), 1}, options, seed},
       options_{options}, random_{mix_hash(seed, 1)},
-      // An answer to a probe of an earlier process of this host, late or replayed, must not be
-      // taken for the answer to one of ours.
+      // Starts at a random number, so that a late or replayed answer to a probe of an earlier
+      // process of this host doesn't match a probe of this one.
       last_sequence_{mix_hash(seed, 2) >> sequence_start_shift} {}
 
 void membership::on_host_list(time_ms, const std::vector<listed_host>& entries) {
@@ -55,7 +55,7 @@
 }
 
 void membership::on_ping(const membership_message& message) {
-  // The sender may be dead or suspected in this table: it must hear of it in order to refute.
+  // If the sender is dead or suspect in this table, it must be informed so that it can refute.
   std::vector<member_update> about_sender;
   const member_update* known = table_.find(message.from.who);
   if (known != nullptr && known->state != member_state::alive)
@@ -66,7 +66,7 @@
 
 void membership::on_ack(time_ms now, const membership_message& message) {
   if (probe_ && probe_->sequence == message.sequence) {
-    // Another incarnation answers where the probed one lived, so the probed one has ended.
+    // Another incarnation answers at the address of the probed one, so the probed one has ended.
     if (message.target != probe_->target && message.target.host == probe_->target.host)
       table_.declare_dead(now, probe_->target);
     probe_.reset();
@@ -112,9 +112,9 @@
   }
 }
 
-// After a pause (stopped process, starved host) answers and refutations sit unread in the sockets.
-// Judging by them would declare healthy members dead, so the open probe is dropped and every
-// suspect gets the lost time back.
+// After a pause (stopped process, overloaded host) answers and refutations are still unread in the
+// sockets, and timeouts would declare healthy members dead. So the pending probe is dropped and
+// every suspicion is extended by the length of the pause.
 void membership::detect_pause(time_ms now) {
   if (!last_tick_) {
     next_probe_ =
@@ -134,7 +134,7 @@
     return;
   if (now >= probe_->fails_at) {
     table_.suspect(now, probe_->target);
-    // The suspect itself must hear of the suspicion in order to refute it.
+    // The suspect itself must be informed so that it can refute.
     const member_update* latest = table_.find(probe_->target);
     if (latest != nullptr && latest->state == member_state::suspect)
       send(latest->address, membership_message_kind::ping, ++last_sequence_, latest->who,
@@ -179,8 +179,8 @@
   }
 }
 
-// A link between two data centres can break while both reach a third. Helpers in the two would then
-// all fail, so half of them are taken from a third data centre if there is one.
+// The link between two data centres can break while both reach a third. Helpers in those two would
+// then all fail, so half of the helpers are from other data centres, if there are any.
 std::vector<const member_update*> membership::choose_helpers(const member_update& target) {
   std::vector<const member_update*> third;
   std::vector<const member_update*> others;
@@ -203,9 +203,10 @@
   return third;
 }
 
-// Both sides of a partition call the other side dead and stop probing it. Asking one listed host
-// that is not live, at a low rate, heals that without an operator: the ping says which incarnation
-// is called dead here, and that one refutes.
+// After a partition each side considers the other dead and doesn't probe it any more. Pinging
+// listed hosts that are not live, one at a time and at a low rate, rejoins both sides without an
+// operator: the ping carries the incarnations that are dead in this table, and a running one
+// refutes.
 void membership::probe_lost_host() {
   std::vector<const listed_host*> lost;
   for (const listed_host& entry : listed_)
--- a/src/membership/impl/membership.hpp
+++ b/src/membership/impl/membership.hpp
@@ -7,30 +7,32 @@
 
 namespace sedgechute {
 
-/// \brief The failure detector of one process: probes, indirect probes, gossip and full exchanges.
+/// \brief The SWIM-style failure detector of one process, with probes, indirect probes, gossip and
+/// full exchanges of member tables.
 ///
-/// Not thread-safe: the owner holds one lock around every call. A wrong suspicion costs other parts
-/// a new grant, never correctness, so detection is quick rather than careful.
+/// Not thread-safe: the owner must lock around every call. A wrong suspicion costs other components
+/// a new grant but never affects correctness, so detection is tuned for speed.
 class membership {
  public:
   /// \param address  this process's peer address, `IP:port`
-  /// \param seed     for the order of probes; any number that differs between hosts
+  /// \param seed     seed of the probe order, different on each host
   membership(incarnation self, data_centre_id data_centre, std::string address,
              const membership_options& options, std::uint64_t seed);
 
-  /// \brief Takes in the platform's list: whom to contact at first and after a partition.
+  /// \brief Replaces the platform's host list, which names the hosts to contact at start and after
+  /// a partition.
   void on_host_list(time_ms now, const std::vector<listed_host>& entries);
   void on_message(time_ms now, const membership_message& message);
-  /// \brief Does what is due; to be called every 50 ms or so.
+  /// \brief Performs timed work. To be called about every 50 ms.
   void tick(time_ms now);
-  /// \brief Announces that this process will stop once its streams have ended.
+  /// \brief Announces that this process will stop after its streams have ended.
   void leave(time_ms now);
-  /// \brief Announces that this process stops now; the farewell is in the next output.
+  /// \brief Announces that this process stops now, by messages in the next output.
   void stop(time_ms now);
 
-  /// \returns messages to send, in order; any of them may be lost
+  /// \returns the messages to send, in order; any may be lost
   [[nodiscard]] std::vector<addressed_membership_message> take_output();
-  /// \returns live and suspected hosts, this one among them
+  /// \returns the live and suspect hosts, including this one
   [[nodiscard]] const membership_view& view() { return table_.view(); }
 
  private:
@@ -42,8 +44,8 @@
     bool indirect{};
   };
   struct relay {
-    std::uint64_t sequence;           ///< of the probe made for another member
-    std::uint64_t requester_sequence; ///< of that member's own probe
+    std::uint64_t sequence;           ///< of the ping sent on behalf of another member
+    std::uint64_t requester_sequence; ///< of that member's own ping
     std::string requester_address;
     time_ms expires;
   };
--- a/src/membership/impl/membership_message.hpp
+++ b/src/membership/impl/membership_message.hpp
@@ -4,12 +4,13 @@
 
 namespace sedgechute {
 
+/// \brief Kinds of messages between members. Any of them carries updates.
 enum class membership_message_kind {
   ping,          ///< asks for an `ack`
-  ack,           ///< answers a `ping`, or passes on the answer to an `indirect_ping`
-  indirect_ping, ///< asks the receiver to ping `target` and pass its answer on
-  gossip,        ///< updates alone, no answer
-  sync_request,  ///< the sender's whole table, asks for the receiver's
+  ack,           ///< answers a `ping`, or forwards the answer for an `indirect_ping`
+  indirect_ping, ///< asks the receiver to ping `target` and forward its answer
+  gossip,        ///< only carries updates; has no answer
+  sync_request,  ///< carries the sender's whole table, asks for the receiver's
 };
 
 template <>
@@ -22,17 +23,19 @@
        {membership_message_kind::sync_request, "sync_request"}});
 };
 
+/// \brief A message of the failure detector.
 struct membership_message {
   membership_message_kind kind{membership_message_kind::gossip};
-  member_update from;                 ///< the sender about itself
-  std::uint64_t sequence{};           ///< pairs an answer with its probe
-  incarnation target;                 ///< probed incarnation; an empty host means whoever is there
-  std::string target_address;         ///< of an `indirect_ping`
-  std::vector<member_update> updates; ///< news about others
+  member_update from;         ///< the sender's own state
+  std::uint64_t sequence{};   ///< matches an answer to its probe
+  incarnation target;         ///< probed incarnation; an empty host name means any at the address
+  std::string target_address; ///< peer address of `target`, in an `indirect_ping`
+  std::vector<member_update> updates; ///< about other incarnations
 
   bool operator==(const membership_message&) const = default;
 };
 
+/// \brief A message and its receiver.
 struct addressed_membership_message {
   std::string address; ///< receiver's peer address
   membership_message message;
--- a/src/membership/impl/membership_options.hpp
+++ b/src/membership/impl/membership_options.hpp
@@ -6,25 +6,25 @@
 
 namespace sedgechute {
 
-/// \brief Periods and bounds of the failure detector. The defaults detect a crash in about two
-/// seconds and cost the same per host at 9 and at 350 hosts.
+/// \brief Periods and limits of the failure detector. With the defaults a crash is detected in
+/// about two seconds, and the cost per host is the same at 9 and at 350 hosts.
 struct membership_options {
   time_ms probe_period{500};       ///< one member is probed per period
-  time_ms direct_timeout{150};     ///< then other members are asked to probe it
-  std::size_t indirect_probes{4};  ///< how many members are asked
+  time_ms direct_timeout{150};     ///< after this, other members are asked to probe it
+  std::size_t indirect_probes{4};  ///< number of members asked
   time_ms suspicion_timeout{1250}; ///< time to refute before a suspect counts as dead
-  time_ms gossip_interval{250};    ///< extra messages while there is news
-  std::size_t gossip_fanout{2};    ///< receivers of one extra message
-  time_ms lost_probe_period{1000}; ///< one listed but unknown or dead host is probed per period
-  time_ms sync_period{60000};      ///< full exchange with one member
-  time_ms tombstone_time{600000};  ///< how long a dead incarnation is remembered
-  time_ms joining_window{10000};   ///< how long a new process declares its predecessors dead
-  time_ms pause_limit{400};        ///< a longer gap between ticks means that this process paused
+  time_ms gossip_interval{250};    ///< between extra messages while updates are queued
+  std::size_t gossip_fanout{2};    ///< number of receivers of extra messages
+  time_ms lost_probe_period{1000}; ///< one listed host that is unknown or dead is probed per period
+  time_ms sync_period{60000};      ///< between full exchanges with a random member
+  time_ms tombstone_time{600000};  ///< how long a dead incarnation is kept
+  time_ms joining_window{10000}; ///< how long after start a process declares its predecessors dead
+  time_ms pause_limit{400};      ///< a longer gap between ticks counts as a pause of this process
 };
 
-/// \brief Most updates carried by a probe, an answer or an extra gossip message.
+/// \brief Maximum number of updates in a probe, an answer or an extra gossip message.
 inline constexpr std::size_t max_gossip_updates = 10;
-/// \brief Most updates carried by one message of a full exchange.
+/// \brief Maximum number of updates in one message of a full exchange.
 inline constexpr std::size_t max_sync_updates = 40;
 
 } // namespace sedgechute
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,9 +1,10 @@
 #pragma once
 
 /// \file
-/// \brief Membership: who is alive, where, in which incarnation.
+/// \brief Membership: which hosts are alive, their addresses and incarnations.
 ///
-/// Pure: time, messages, host list and randomness come in as arguments, messages go out as values.
+/// The library does no I/O and reads no clock: callers pass in the time, messages, host list and
+/// random seeds, and take messages to send as values.
 
 #include "membership/impl/forward_declarations.hpp"
 #include "membership/impl/member.hpp"
--- a/tests/claims/claims_oracle.cpp
+++ b/tests/claims/claims_oracle.cpp
@@ -62,7 +62,7 @@
   key_history& history = history_[granted.key];
   if (++history.runs > 1 && !granted.idempotent)
     ++found_.ran_twice;
-  // A call that began after this attempt was granted must not have been told that nothing can run.
+  // A call that began after this attempt was granted must not have been refused as `not run`.
   for (const std::size_t other : history.calls)
     if (calls_[other].told_not_run && calls_[other].began_at > granted.granted_at)
       ++found_.false_not_run;
--- a/tests/claims/claims_simulation.cpp
+++ b/tests/claims/claims_simulation.cpp
@@ -113,7 +113,7 @@
     log_down_ = false;
     break;
   case action_kind::drain:
-    // One host of a data centre at a time, as in a rolling replacement.
+    // Only one host per data centre at a time, as in a rolling replacement.
     for (std::size_t other = 0; other < host_count; ++other)
       if (hosts_[other].draining && data_centre(other) == data_centre(slot))
         return;
@@ -219,7 +219,7 @@
   for (in_flight& sent : delivering_) {
     const auto to = slot_of(sent.to);
     const auto from = slot_of(sent.from);
-    // A message of a process that has ended may still arrive; one to such a process can't.
+    // A message from a process that has ended may still arrive, but not one to such a process.
     if (!to || (from && is_cut(*from, *to)))
       continue;
     const std::uint64_t draw = settling_ ? 100 : random_.below(100);
--- a/tests/claims/claims_simulation.hpp
+++ b/tests/claims/claims_simulation.hpp
@@ -13,32 +13,33 @@
 
 namespace sedgechute::test {
 
-/// \brief Deliberate faults of the protocol, to show that the checks notice them.
+/// \brief Deliberate protocol faults, to verify that the checks detect them.
 enum class mutation {
   none,
-  skip_witness,           ///< the holder believes the witness without having asked it
-  ignore_seal,            ///< the witness accepts what belongs to an epoch that is sealed or over
-  trust_append,           ///< a proposer takes its own append for read back
-  forget_tombstones,      ///< a new witness gets an empty table
-  not_run_if_unreachable, ///< silence of the holder is told as `not run`
-  blind_to_lost_epochs,   ///< a holder that knows nothing says that nothing ran
-  run_resume_only,        ///< an attempt that may only resume starts anew
-  forget_attempts,        ///< every grant is told as the first attempt, as it was asked for
+  skip_witness,           ///< the holder commits claims without asking the witness
+  ignore_seal,            ///< the witness accepts claims of an epoch that is sealed or over
+  trust_append,           ///< a host applies its own append without reading it back
+  forget_tombstones,      ///< a new witness receives an empty table
+  not_run_if_unreachable, ///< an unreachable holder is reported as `not run`
+  blind_to_lost_epochs,   ///< a holder that lacks claims of lost epochs grants their keys
+  run_resume_only,        ///< an attempt that may only resume starts again
+  forget_attempts,        ///< every grant is reported as a first attempt as requested
 };
 
+/// \brief Kinds of actions; `a` and `b` are the numbers of an `action`.
 enum class action_kind {
-  begin,      ///< a caller sends key `a` to host `b`
+  begin,      ///< host `b` gets a request with key `a`
   advance,    ///< time passes and some messages arrive
-  end_run,    ///< run `a` ends as `b` says
+  end_run,    ///< run `a` ends, with the outcome chosen by `b`
   crash,      ///< host `a` is replaced by a new process
-  pause,      ///< host `a` stops for a while
-  resume,     ///< host `a` goes on, sometimes with a gap in what it has read of the log
-  cut,        ///< hosts `a` and `b` lose each other, or whole data centres do
-  heal,       ///< all links work again
-  log_outage, ///< the log is down
-  log_back,
-  suspect, ///< host `a` wrongly believes that host `b` is dead
-  drain,   ///< host `a` stops as planned and is replaced
+  pause,      ///< host `a` pauses
+  resume,     ///< host `a` resumes, sometimes with a gap in the log
+  cut,        ///< links are cut: those of host `a`, or those between data centres
+  heal,       ///< all links are restored
+  log_outage, ///< the log becomes unavailable
+  log_back,   ///< the log is available again
+  suspect,    ///< host `a` wrongly believes that host `b` is dead
+  drain,      ///< host `a` is drained, then replaced
 };
 
 } // namespace sedgechute::test
@@ -77,15 +78,16 @@
 
 namespace sedgechute::test {
 
-/// \brief What the checks have found in a schedule.
+/// \brief Counts of events and of violations in a schedule.
 struct findings {
   std::size_t calls{};
   std::size_t runs{};
   std::size_t ran_twice{};
   std::size_t false_not_run{};
   std::size_t mixed_answers{};
-  std::size_t unresolved{}; ///< calls without exactly one decision, or of a kind never asked for
-  std::size_t stuck{};      ///< new keys refused long after the last failure
+  std::size_t
+      unresolved{};    ///< calls without exactly one decision, or with a wrong kind of decision
+  std::size_t stuck{}; ///< new keys not granted long after the last failure
   std::size_t refused_unknown{};
   std::size_t refused_not_run{};
   std::size_t retained{};
@@ -97,22 +99,23 @@
   }
 };
 
+/// \brief A step of a schedule.
 struct action {
   action_kind kind{action_kind::advance};
   std::uint32_t a{};
   std::uint32_t b{};
 };
 
-/// \brief Several hosts over fakes of network, log, failure detector and engines, and the naive
-/// oracle: one map from key to what happened under it.
+/// \brief Several hosts on a simulated network, log, failure detector and engines, with an oracle:
+/// a map from each key to the calls and runs under it.
 class claims_simulation {
  public:
   explicit claims_simulation(std::uint64_t seed, mutation fault = mutation::none);
 
   void apply(const action& step);
-  /// \brief Heals everything and lets time pass until every call must have been decided.
+  /// \brief Ends all failures and advances time until every call must have been decided.
   void settle();
-  /// \brief After `settle`: checks that new keys are decided again everywhere.
+  /// \brief Checks that every host grants new keys again; to be called after `settle`.
   void check_recovery();
   [[nodiscard]] const findings& found() const noexcept { return found_; }
   /// \returns a random action, weighted so that most schedules make progress
@@ -128,7 +131,7 @@
     std::size_t read{0}; ///< records of the log applied
     bool paused{false};
     bool draining{false};
-    std::vector<live_host> view; ///< as last told
+    std::vector<live_host> view; ///< as last passed to the host
   };
   struct in_flight {
     incarnation from;
@@ -152,7 +155,7 @@
     bool ran{};
     bool running{};
     bool told_not_run{};
-    std::uint64_t began_at{}; ///< event counters order what happens in the same millisecond
+    std::uint64_t began_at{}; ///< event number, which orders events of the same millisecond
     std::uint64_t granted_at{};
   };
   struct key_history {
@@ -174,7 +177,7 @@
   void collect(std::size_t slot);
   void append(std::size_t slot, const claims_record& record);
   void read_log(std::size_t slot);
-  /// \brief The log has dropped what the host has not read; it goes on from another's checkpoint.
+  /// \brief Restores the host from another's checkpoint, as if the log had dropped unread records.
   void skip_log(std::size_t slot);
   void refresh_views();
   void deliver_some();
@@ -194,7 +197,7 @@
   std::array<std::array<bool, host_count>, host_count> cut_{};
   std::array<std::array<time_ms, host_count>, host_count> suspected_until_{};
   std::vector<in_flight> network_;
-  std::vector<in_flight> delivering_; ///< kept for its memory
+  std::vector<in_flight> delivering_; ///< kept between calls to reuse its memory
   std::vector<claims_record> log_;
   std::vector<claims_record> late_appends_;
   bool log_down_{false};
--- a/tests/claims/key_test.cpp
+++ b/tests/claims/key_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace sedgechute;
 
-TEST_CASE("a minted key tells its data centre, shard and mark") {
+TEST_CASE("the text of a minted key contains its data centre, shard and mark") {
   const minted_key key{data_centre_id{"rvk.c-1"}, 7, 123456789, 0xfedcba9876543210ULL};
   const std::string text = format_key(key);
   const auto parsed = parse_key(text);
@@ -20,7 +20,7 @@
     CHECK_FALSE(parse_key(other));
 }
 
-TEST_CASE("any text is a key of exactly one shard, and parsing it never fails") {
+TEST_CASE("any text is a key of exactly one shard and can be parsed without error") {
   const claims_options options;
   CHECK(rc::check([&](const std::string& text) {
     const claim_shard shard = shard_of({team_id{"t"}, text}, options);
@@ -33,7 +33,7 @@
   CHECK(shard_of({team_id{"t"}, "plain"}, options).data_centre.empty());
 }
 
-TEST_CASE("an attempt ends once, and only a claimed one can be dispatched") {
+TEST_CASE("a final state has no successor, and an attempt is dispatched only after it is claimed") {
   using enum request_state;
   for (const auto& [from, from_name] : enum_names<request_state>::entries)
     for (const auto& [to, to_name] : enum_names<request_state>::entries)
@@ -46,7 +46,7 @@
   CHECK_FALSE(may_become(accepted, dispatched));
 }
 
-TEST_CASE("a stored key tells minted keys apart exactly and stands for a text that is not kept") {
+TEST_CASE("a stored key holds the mark and number of a minted key and can be encoded as a text") {
   const minted_key minted{data_centre_id{"hf-a"}, 3, 17, 0xabcULL};
   const stored_key stored = stored_key_of(format_key(minted));
   CHECK(stored.is_minted());
--- a/tests/claims/retention_test.cpp
+++ b/tests/claims/retention_test.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a minted key is remembered for its time, and told to be expired ever after") {
+TEST_CASE("a minted key is kept for its retention and is refused as unknown from then on") {
   small_fleet fleet{4, quick_options()};
   const std::string key = fleet.at(0).mint_key(fleet.now).value();
   finish(fleet, 0, fleet.ask(0, key));
@@ -38,7 +38,7 @@
   CHECK(refuses(fleet.ask(1, key), error_kind::key_unknown));
 }
 
-TEST_CASE("a caller's key is remembered from its end on, then counts as new") {
+TEST_CASE("a caller's key is kept for its retention after its attempt ended, then counts as new") {
   small_fleet fleet{4, quick_options()};
   const claim_decision granted = fleet.ask(0, "order-17");
   fleet.run(120_s);
@@ -50,9 +50,9 @@
   CHECK(proceeds(fleet.ask(1, "order-17")));
 }
 
-// One team sends thousands of keys. It must not make the fleet forget others' keys, nor keep others
-// from claiming theirs.
-TEST_CASE("a team at its bound gets no new keys, and others are not affected") {
+// A team that sends thousands of keys must not evict the keys of other teams or prevent them from
+// claiming new ones.
+TEST_CASE("a team at its limit can claim no new keys, and other teams are not affected") {
   claims_options options = quick_options();
   options.max_claims_per_team = 5;
   small_fleet fleet{3, options};
@@ -65,7 +65,7 @@
   CHECK(proceeds(fleet.ask(holder, "mine", false, 1, "quiet")));
 }
 
-TEST_CASE("a full store of answers costs the team that fills it") {
+TEST_CASE("a full answer store evicts answers of the team that uses most of it") {
   answer_store store{20000, 5000};
   retained_answer answer;
   answer.complete = true;
@@ -83,8 +83,7 @@
   CHECK(store.find({team_id{"quiet"}, "long"}) == nullptr);
 }
 
-TEST_CASE(
-    "a complete answer is never replaced by a position, nor a later attempt's by an earlier's") {
+TEST_CASE("a position never replaces a complete answer, nor an earlier attempt a later one") {
   answer_store store{20000, 5000};
   const claim_id id{team_id{"t"}, "k"};
   retained_answer position;
--- a/tests/claims/retry_test.cpp
+++ b/tests/claims/retry_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("a first request proceeds, a concurrent one joins it, a later one gets the answer") {
+TEST_CASE("a first request proceeds, a concurrent one joins it, and a later one gets the answer") {
   small_fleet fleet{4};
   const claim_decision first = fleet.ask(0, key);
   REQUIRE(proceeds(first));
@@ -33,10 +33,10 @@
   CHECK(fleet.ask(2, key, false, 1, "other team").body.index() == 0);
 }
 
-// A summary is being generated when its host dies. The caller sends it again to another host. The
-// optician must not get a second letter, and the first one's text is still in the engine.
-TEST_CASE(
-    "after its host's death an order may only be resumed, a repeatable request starts again") {
+// The entry host dies while the endpoint generates an answer, and the caller retries on another
+// host. A request that isn't idempotent must not start a second time, but the endpoint may still
+// have its stream.
+TEST_CASE("after the loss of its host a request may only be resumed unless it is idempotent") {
   for (const bool idempotent : {false, true}) {
     small_fleet fleet{4};
     const std::size_t entry = fleet.uninvolved_host_of(key);
@@ -57,9 +57,9 @@
   }
 }
 
-// The host dies between the grant and the dispatch, or right after it: nobody can tell which. The
-// peer knows of no endpoint, so there is nothing to resume.
-TEST_CASE("an order whose host died without a trace is told outcome unknown for good") {
+// The entry host dies shortly before or after the dispatch, and other hosts can't know which. The
+// peer has no stream position, so there is nothing to resume.
+TEST_CASE("retries get outcome unknown if the host died without copying a stream position") {
   small_fleet fleet{4};
   const std::size_t entry = fleet.uninvolved_host_of(key);
   REQUIRE(proceeds(fleet.ask(entry, key)));
@@ -69,7 +69,7 @@
   CHECK(refuses(fleet.ask(fleet.witness_of(key), key), error_kind::outcome_unknown));
 }
 
-TEST_CASE("a retained answer outlives the host that gave it") {
+TEST_CASE("a retained answer survives the loss of its entry host") {
   small_fleet fleet{4};
   const std::size_t entry = fleet.uninvolved_host_of(key);
   const claim_decision first = fleet.ask(entry, key);
@@ -83,9 +83,9 @@
       CHECK(std::get<retained_decision>(fleet.ask(host, key).body).answer.body == "whole answer");
 }
 
-// The host that was granted the key is stopped before it dispatches, for longer than keys are
-// remembered. Meanwhile the caller has tried again elsewhere. When it wakes up it dispatches.
-TEST_CASE("a host paused longer than any retention still has the only right to run the key") {
+// The entry host is paused between grant and dispatch for longer than the retention. It will
+// dispatch when it resumes, so a retry on another host must not be granted the key meanwhile.
+TEST_CASE("a key granted to a host that is paused beyond the retention is not granted again") {
   claims_options options;
   options.retention = 20_s;
   small_fleet fleet{4, options};
@@ -98,8 +98,9 @@
   CHECK(refuses(fleet.ask(fleet.holder_of(key), key), error_kind::outcome_unknown));
 }
 
-// A host can't reach whoever decides. It must not say `not run`: the key may be running over there.
-TEST_CASE("a host cut off from the holder answers within its bound, and truthfully") {
+// An entry host can't reach the holder. It must not report `not run` for a caller's key, because
+// the key may be running on another host.
+TEST_CASE("a host cut off from the holder refuses in time, with not run only for fresh keys") {
   small_fleet fleet{4};
   const std::size_t isolated = fleet.uninvolved_host_of(key);
   const std::string minted = fleet.at(isolated).mint_key(fleet.now).value();
@@ -118,7 +119,8 @@
   CHECK(proceeds(fleet.ask(fleet.holder_of(key), minted)));
 }
 
-TEST_CASE("a request refused before its dispatch is told so, and its key may be used again") {
+TEST_CASE(
+    "a request refused before its dispatch gets that error, and its key can be claimed again") {
   for (const bool idempotent : {false, true}) {
     small_fleet fleet{4};
     const claim_decision first = fleet.ask(0, key, idempotent);
@@ -132,9 +134,10 @@
   }
 }
 
-// A repeatable request waits for capacity while its host is paused. Believed dead, it is run by
-// another host. When the first one wakes up it finds no capacity and is about to say `not run`.
-TEST_CASE("a woken host does not say not run about what another host has run meanwhile") {
+// The host of an idempotent request is paused while the request waits for capacity. It is believed
+// dead, and another host runs the request. When the first host resumes without finding capacity, it
+// must not report `not run`.
+TEST_CASE("a resumed host does not report not run for a request that another host has run") {
   small_fleet fleet{4};
   const std::size_t entry = fleet.uninvolved_host_of(key);
   const claim_decision first = fleet.ask(entry, key, true);
@@ -148,7 +151,7 @@
   CHECK(refuses(fleet.decision(entry, first.ticket), error_kind::outcome_unknown));
 }
 
-TEST_CASE("a look-up tells how a key stands and never grants it") {
+TEST_CASE("a look-up returns the state of a key and never grants it") {
   small_fleet fleet{4};
   const auto look_up = [&](std::size_t host) {
     const std::uint64_t ticket = fleet.at(host).look_up(fleet.now, team_id{"t"}, key);
--- a/tests/claims/rules_test.cpp
+++ b/tests/claims/rules_test.cpp
@@ -40,10 +40,9 @@
 
 } // namespace
 
-// Both hosts that decided for a key are lost. A host that gave up the first attempt reports it to
-// the new holder, who knows nothing of the second one, which ran. The caller sends the order once
-// more.
-TEST_CASE("a reported attempt that never ran doesn't show that no other one did") {
+// Holder and witness of a key are lost. An entry host reports its refused first attempt to the new
+// holder, which doesn't know that a second attempt ran. A retry must not be granted.
+TEST_CASE("a report of a refused attempt doesn't prove that no later attempt ran") {
   const report_step step = evaluate_report(attempt(1, request_state::refused), std::nullopt);
   REQUIRE(step.action == report_action::propose);
   CHECK(step.next.may_have_run);
@@ -55,9 +54,9 @@
   CHECK(verdict_on(stored_claim{later.next, std::nullopt}) == claim_verdict::unknown);
 }
 
-// A witness takes over that had not got the whole table yet. It remembers that the first attempt
-// was refused, but not that a second one was granted since.
-TEST_CASE("a holder that may have missed claims trusts no refused attempt of before") {
+// A witness takes over before it has the whole table. It has the refused first attempt but not the
+// second one, which was granted later.
+TEST_CASE("a holder that may lack claims grants no key because of an earlier refused attempt") {
   claim_pool pool;
   claim_table table{pool};
   table.merge(1_s, attempt(1, request_state::refused));
@@ -66,9 +65,9 @@
   CHECK(verdict_on(table.find(attempt(1, request_state::refused).id)) == claim_verdict::unknown);
 }
 
-// Two epochs that did not know of each other have both granted a third attempt. One was refused,
-// the other ran. Whichever is kept, a retry must not be told that nothing ran.
-TEST_CASE("of two attempts with one number the dropped one still counts") {
+// Two concurrent epochs have both granted a third attempt. One was refused, the other ran.
+// Whichever is kept, a retry must not be granted as if nothing had run.
+TEST_CASE("merging two attempts of the same number keeps that one of them may have run") {
   const claim ran = attempt(3, request_state::answered, 1);
   const claim refused = attempt(3, request_state::refused, 2);
   for (const auto& [a, b] : {std::pair{ran, refused}, std::pair{refused, ran}}) {
@@ -80,8 +79,8 @@
   CHECK(merge_forked(paused, refused).unfinished == std::vector{host(3)});
 }
 
-// A table that was handed over has no texts of keys. A retry with the text must find its claim.
-TEST_CASE("a claim that came without its key's text is found by the text") {
+// A transferred table has no texts of keys, but a retry with the text must find its claim.
+TEST_CASE("a claim transferred without its key's text is found by the text") {
   const claim known = attempt(2, request_state::answered, 3);
   claim_pool pool;
   claim_table first{pool};
@@ -96,7 +95,7 @@
   CHECK_FALSE(second.find(known.id));
 }
 
-TEST_CASE("copies of a claim converge in whatever order they arrive") {
+TEST_CASE("copies of a claim converge in any order of arrival") {
   const std::vector<claim> states{
       attempt(1, request_state::claimed), attempt(1, request_state::refused),
       attempt(2, request_state::claimed, 2), attempt(2, request_state::answered, 2)};
@@ -111,9 +110,9 @@
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// The empty table of a new holder was sent and acknowledged; then it regained a lost table and
-// sends again. A late copy of the first acknowledgement must not count for the second transfer.
-TEST_CASE("a late acknowledgement of an earlier transfer counts for nothing") {
+// A new holder has sent its empty table. It then receives a table of a lost epoch and sends again.
+// A late copy of the first acknowledgement must not acknowledge the second transfer.
+TEST_CASE("a late acknowledgement of an earlier transfer is ignored") {
   table_transfer second = start_transfer(2, {attempt(1, request_state::answered)});
   note_ack(second, {claim_shard{}, 5, 1, 0});
   CHECK_FALSE(is_finished(second));
@@ -143,9 +142,9 @@
   CHECK(is_finished(transfer));
 }
 
-// A host is lost, and its shards' tables go to new witnesses at once. Sent as fast as they can be,
-// they would keep the network from the requests that arrive meanwhile.
-TEST_CASE("tables are sent no faster than allowed, and all of them") {
+// After the loss of a host, the tables of its shards are sent to new witnesses. Without a rate
+// limit they would saturate the network and delay requests.
+TEST_CASE("a whole table is sent within the rate limit") {
   const std::vector<claim> claims(3 * max_claims_per_part, attempt(1, request_state::answered));
   table_transfer transfer = start_transfer(1, claims);
   transfer_rate_limiter allowance{static_cast<std::int64_t>(max_claims_per_part)};
@@ -165,7 +164,7 @@
   CHECK(transfer.parts.front().empty());
 }
 
-TEST_CASE("a delegation counts only if it replaces the present epoch") {
+TEST_CASE("a delegation is valid only if it replaces the current epoch") {
   shard_map map{claims_options{}};
   const claim_shard shard{data_centre_id{"a"}, true, 0};
   CHECK(map.apply(1_s, 10, {1, claim_delegation{shard, 0, host(1), host(2), 0}}));
@@ -180,7 +179,7 @@
   CHECK(map.find(shard)->lost.size() == 2);
 }
 
-TEST_CASE("a host lost twice has to say twice that it stopped") {
+TEST_CASE("a host lost twice must report for each epoch that it has stopped") {
   shard_map map{claims_options{}};
   const claim_shard shard{data_centre_id{"a"}, false, 0};
   CHECK(map.apply(1_s, 1, {1, claim_delegation{shard, 0, host(1), {}, 0}}));
--- a/tests/claims/schedule_test.cpp
+++ b/tests/claims/schedule_test.cpp
@@ -11,14 +11,14 @@
 
 } // namespace
 
-TEST_CASE("no schedule of failures runs a key twice or tells a caller something untrue") {
+TEST_CASE("no schedule of failures runs a key twice or gives a caller a false result") {
   findings sum;
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
     const findings found = run_schedule(seed, steps);
     CHECK_MESSAGE(found.clean(), "seed " << seed);
     sum += found;
   }
-  // The schedules must get somewhere, or the checks would say nothing.
+  // The schedules must make progress, or the checks above would prove nothing.
   CHECK(sum.calls > 30000);
   CHECK(sum.runs > 4000);
   CHECK(sum.refused_not_run > 500);
@@ -26,7 +26,7 @@
   CHECK(sum.joined > 3000);
 }
 
-TEST_CASE("the checks notice each deliberate fault of the protocol") {
+TEST_CASE("the checks detect every deliberate protocol fault") {
   for (const auto& entry : enum_names<mutation>::entries) {
     const mutation fault = entry.first;
     if (fault == mutation::none)
--- a/tests/claims/small_fleet.hpp
+++ b/tests/claims/small_fleet.hpp
@@ -10,8 +10,8 @@
 
 namespace sedgechute::test {
 
-/// \brief A few hosts of one data centre that exchange everything at once and lose nothing but what
-/// a test takes away.
+/// \brief A simulated fleet of a few hosts in one data centre. Messages are delivered at the next
+/// step and are lost only on links that a test cuts.
 class small_fleet {
  public:
   explicit small_fleet(std::size_t hosts, claims_options options = {}, std::uint32_t shards = 1)
@@ -50,7 +50,7 @@
                       std::uint64_t fingerprint = 1, const std::string& team = "t") {
     return at(i).begin(now, {team_id{team}, key, fingerprint, idempotent, false});
   }
-  /// \returns the decision on a new request, given enough time
+  /// \returns the decision on a new request, after running for long enough
   claim_decision ask(std::size_t i, const std::string& key, bool idempotent = false,
                      std::uint64_t fingerprint = 1, const std::string& team = "t") {
     const std::uint64_t ticket = begin(i, key, idempotent, fingerprint, team);
@@ -64,7 +64,7 @@
     return decisions_.contains({numbers_.at(i), ticket});
   }
 
-  /// \returns the place of the holder (or witness) of the shard that decides for `key`
+  /// \returns the index of the holder (or witness) of the shard of `key`
   [[nodiscard]] std::size_t holder_of(const std::string& key) {
     return index_of(status_of(key).holder);
   }
@@ -87,8 +87,8 @@
 
   time_ms now{1000000};
   bool log_down{false};
-  std::set<std::size_t> paused;                      ///< hosts that do nothing
-  std::set<std::pair<std::size_t, std::size_t>> cut; ///< links that lose everything
+  std::set<std::size_t> paused; ///< hosts that neither run nor receive messages
+  std::set<std::pair<std::size_t, std::size_t>> cut; ///< links that lose all messages
   std::vector<claims_record> log;
 
   static host_id name(std::size_t i) { return host_id{"h" + std::to_string(i)}; }
@@ -127,7 +127,7 @@
     for (std::size_t i = 0; i < hosts_.size(); ++i)
       if (is_up(i))
         step_host(i);
-    // Hosts that propose at the same instant don't know of one another's records.
+    // Records become visible after the step, so concurrent proposals don't see each other.
     log.insert(log.end(), appended_.begin(), appended_.end());
     appended_.clear();
   }
--- a/tests/claims/stateful_test.cpp
+++ b/tests/claims/stateful_test.cpp
@@ -9,8 +9,7 @@
 
 namespace {
 
-/// \brief The oracle lives in the world, which compares every decision with it; the model only
-/// counts.
+/// \brief Only counts actions: the simulation itself compares every decision with its oracle.
 struct schedule_model {
   std::size_t actions{0};
 };
@@ -57,11 +56,11 @@
 
 } // namespace
 
-TEST_CASE("generated schedules agree with the naive oracle after every step") {
+TEST_CASE("generated schedules agree with the oracle after every step") {
   CHECK(rc::check([](std::uint64_t seed) { check_schedule(seed, mutation::none); }));
 }
 
-TEST_CASE("a fault of the protocol is found and shrunk to a short schedule") {
+TEST_CASE("a deliberate protocol fault is found and shrunk to a short schedule") {
   const auto result = rc::detail::checkTestable(
       [](std::uint64_t seed) { check_schedule(seed, mutation::skip_witness); });
   CHECK(result.is<rc::detail::FailureResult>());
--- a/tests/claims/takeover_test.cpp
+++ b/tests/claims/takeover_test.cpp
@@ -12,7 +12,7 @@
 
 const std::string key = "order-17";
 
-/// \brief Lets `who` run `key` and end with an answer.
+/// \brief Runs the key `text` on `host`, ending with an unknown outcome.
 void run_key(small_fleet& fleet, std::size_t host, const std::string& text) {
   const claim_decision granted = fleet.ask(host, text);
   REQUIRE(proceeds(granted));
@@ -23,9 +23,9 @@
 
 } // namespace
 
-// The holder of a key is paused; its witness takes over. The holder wakes up, knows nothing of it
-// yet, and gets the same key from a caller. It must not be able to grant it a second time.
-TEST_CASE("a paused holder that wakes up can grant nothing") {
+// The holder of a key is paused and its witness takes over. The holder resumes before it has read
+// the record of the new epoch, and receives a request for the same key. It must not grant it again.
+TEST_CASE("a resumed holder whose epoch was sealed can grant nothing") {
   small_fleet fleet{4};
   const std::size_t holder = fleet.holder_of(key);
   const std::size_t other = fleet.uninvolved_host_of(key);
@@ -33,7 +33,7 @@
   fleet.run(5_s);
   CHECK(fleet.holder_of(key) != holder);
   run_key(fleet, other, key);
-  // Awake, but its view of the log is stale.
+  // The holder resumes without having read the new records of the log.
   fleet.log_down = true;
   fleet.paused.clear();
   CHECK(refuses(fleet.ask(holder, key), error_kind::outcome_unknown));
@@ -44,7 +44,7 @@
   CHECK(refuses(fleet.ask(holder, key), error_kind::outcome_unknown));
 }
 
-TEST_CASE("claims survive the loss of one host after another") {
+TEST_CASE("claims survive the successive loss of several hosts") {
   small_fleet fleet{5};
   run_key(fleet, 0, key);
   for (int lost = 0; lost < 3; ++lost) {
@@ -55,7 +55,7 @@
   CHECK(proceeds(fleet.ask(fleet.holder_of(key), "new")));
 }
 
-TEST_CASE("during a log outage claims go on with the holder and witness of before") {
+TEST_CASE("during a log outage holders and witnesses keep granting claims") {
   small_fleet fleet{4};
   fleet.log_down = true;
   fleet.run(60_s);
@@ -64,9 +64,9 @@
   CHECK(proceeds(fleet.ask(3, "new")));
 }
 
-// A rack is lost with the holder and the witness of a shard. Which keys they had granted is known
-// to nobody, so the next holder must not say that any of them is new.
-TEST_CASE("when both are lost, what they may have granted is unknown and new minted keys are not") {
+// Holder and witness of a shard are lost together, and no other host has their claims. The next
+// holder must not treat any key as new that they may have granted.
+TEST_CASE("after the loss of holder and witness only newly minted keys are granted") {
   claims_options options;
   options.retention = 60_s;
   small_fleet fleet{7, options};
@@ -83,7 +83,7 @@
   CHECK(refuses(fleet.ask(caller, old_minted), error_kind::outcome_unknown));
   CHECK(proceeds(fleet.ask(caller, fleet.at(caller).mint_key(fleet.now).value())));
 
-  // Without proof that both have ended they may be cut off and still grant keys.
+  // Until both are proven to have ended, they may only be cut off and may still grant keys.
   fleet.run(120_s);
   CHECK(refuses(fleet.ask(caller, key), error_kind::outcome_unknown));
   for (const std::size_t host : {holder, witness})
@@ -93,9 +93,9 @@
   CHECK(refuses(fleet.ask(caller, old_minted), error_kind::outcome_unknown));
 }
 
-// Holder and witness are cut off from their neighbours for a while, are taken for dead, and come
-// back with everything they know.
-TEST_CASE("when both were only cut off, nothing stays unknown once they are back") {
+// Holder and witness are cut off from the other hosts, believed dead and replaced. When they are
+// reconnected, they send their tables to the new holder.
+TEST_CASE("if holder and witness were only cut off, their claims are recovered") {
   small_fleet fleet{5};
   run_key(fleet, fleet.holder_of(key), key);
   const std::size_t holder = fleet.holder_of(key);
@@ -114,7 +114,7 @@
   CHECK(fleet.at(successor).statistics(fleet.now).shards_with_unknown_claims == 0);
 }
 
-TEST_CASE("a rolling replacement of every host loses no claim and stops no service") {
+TEST_CASE("a rolling replacement of all hosts loses no claim and keeps granting") {
   small_fleet fleet{4};
   run_key(fleet, 0, key);
   for (std::size_t host = 0; host < 4; ++host) {
@@ -145,9 +145,9 @@
   CHECK(std::get<join_decision>(fleet.ask(2, key).body).host == fleet.who(0));
 }
 
-// A holder was cut off from the log for so long that the log has dropped what it has not read. In
-// the checkpoint it is the holder again, but others were in between.
-TEST_CASE("a holder with a gap in its log grants nothing that may have been granted meanwhile") {
+// A holder was cut off from the log until the log dropped records that it had not read. According
+// to the checkpoint it is the holder, but other hosts may have held the shard in between.
+TEST_CASE("a holder with a log gap grants no key that others may have granted during the gap") {
   small_fleet fleet{4};
   const std::size_t holder = fleet.holder_of(key);
   claims_snapshot checkpoint = fleet.at(holder).snapshot();
@@ -164,10 +164,10 @@
   }
 }
 
-// The holder of everything missed records and lost track of its shards; a host that started later
-// had none. To share the load it handed one over as if the other had all claims, which it had sent
-// to nobody: a key that had run was granted again.
-TEST_CASE("a holder with a gap in its log hands over nothing as if all of it were known") {
+// A holder with a log gap moves a shard to a host that started later, to balance the load. If it
+// handed the shard over as complete without having sent its table, a key that had run would be
+// granted again.
+TEST_CASE("a holder with a log gap does not hand over a shard as complete") {
   small_fleet fleet{1};
   CHECK(proceeds(fleet.ask(0, key)));
   fleet.start(1);
@@ -189,10 +189,10 @@
   CHECK(proposed > 0);
 }
 
-// All holders gave shards to the one host with the least to do, at the same instant. It then had
-// the most, and they were moved on: eight records a second for ever with 70 hosts, each with a
-// table to be sent, and three times the mean on some host.
-TEST_CASE("shards come to rest, and no host has many more than the others") {
+// If all holders moved shards to the least loaded host at the same time, it would become the most
+// loaded one and the shards would be moved again. With 70 hosts this caused eight records a second
+// without end, each with a table transfer, and three times the mean load on some host.
+TEST_CASE("balancing comes to an end with a similar number of shards on every host") {
   constexpr std::size_t hosts = 32;
   constexpr std::size_t shards = 32;
   small_fleet fleet{hosts, {}, shards};
--- a/tests/claims/wire_test.cpp
+++ b/tests/claims/wire_test.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("every message survives the wire") {
+TEST_CASE("every message is unchanged after encoding and decoding") {
   const auto messages = one_of_each();
   CHECK(messages.size() == std::variant_size_v<claims_message>);
   for (std::size_t i = 0; i < messages.size(); ++i) {
@@ -59,7 +59,7 @@
   CHECK(from_wire(sent, some_host(8), some_host(9)) == std::vector{granted});
 }
 
-TEST_CASE("a message does not name the hosts that it goes between") {
+TEST_CASE("an encoded message omits the names of its sender and receiver") {
   const claim subject = some_claim();
   const claims_message report = claim_report{subject};
   const wire::claims_message sent = to_wire({subject.entry, subject.peer, {report, report}});
@@ -69,7 +69,7 @@
   CHECK(from_wire(sent, subject.entry, subject.peer) == std::vector{report, report});
 }
 
-TEST_CASE("messages to one host travel together while they are small") {
+TEST_CASE("small messages to one host are bundled") {
   retained_answer large;
   large.body = std::string(1000, 'a');
   const claims_message small = replica_stored{1};
@@ -84,7 +84,7 @@
                      {1, max_claims_bundle}, {2, 1}, {1, 2}, {1, 1}, {1, 1}});
 }
 
-TEST_CASE("records and checkpoints survive the wire") {
+TEST_CASE("records and checkpoints are unchanged after encoding and decoding") {
   const claims_record delegation{3, claim_delegation{shard, 4, some_host(1), some_host(2), 5}};
   const claims_record rotation{6, claim_rotation{shard, 7}};
   CHECK(from_wire(to_wire(delegation)) == delegation);
--- a/tests/membership/detection_test.cpp
+++ b/tests/membership/detection_test.cpp
@@ -21,12 +21,12 @@
 
 } // namespace
 
-TEST_CASE("hosts that know only the host list find each other") {
+TEST_CASE("hosts that start with only the host list discover each other") {
   virtual_network network{9, 0.2};
   CHECK(network.run_until(30_s, [&] { return network.all_complete(9); }) < 20_s);
 }
 
-TEST_CASE("without loss nobody is suspected and the view stays the same") {
+TEST_CASE("without message loss no host is suspected and the view stays the same") {
   virtual_network network{9, 0.0};
   network.run_until(30_s, [&] { return network.all_complete(9); });
   network.run(3_s);
@@ -35,9 +35,9 @@
   CHECK(network.at(0)->view().version == version);
 }
 
-// A host loses power. Until the others notice, they forward claims and reservations to it and their
-// callers wait. Messages are lost all the while, as they are when a switch is failing.
-TEST_CASE("a crash is known everywhere within seconds although messages are lost") {
+// Until a crash is detected, other hosts send claims and reservations to the crashed host and their
+// callers wait. Message loss, as with a failing switch, must not delay the detection.
+TEST_CASE("a crash is detected by all hosts within seconds despite message loss") {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
     virtual_network network{9, 0.05, seed};
     network.run_until(30_s, [&] { return network.all_complete(9); });
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("350 hosts start at once, suspect nobody, and notice a crash as quickly as 9 do") {
+TEST_CASE("350 hosts start at once without suspicions and detect a crash as quickly as 9 do") {
   constexpr std::size_t hosts = 350;
   virtual_network network{hosts, 0.0};
   const time_ms complete = network.run_until(30_s, [&] { return network.all_complete(hosts); });
@@ -63,9 +63,9 @@
   CHECK(taken < 6_s);
 }
 
-// A process is replaced under its old name before anyone noticed that it had gone. Messages for the
-// old process must not be taken for the new one's.
-TEST_CASE("a returned host is a new incarnation and the old one is dead at once") {
+// A process is replaced under the same host name before its crash is detected. Messages to the old
+// process must not be accepted by the new one, so the old incarnation must count as dead.
+TEST_CASE("a restarted host is a new incarnation and the old one is dead at once") {
   virtual_network network{9, 0.0};
   network.run_until(30_s, [&] { return network.all_complete(9); });
   const incarnation old = network.at(4)->view().members[4].who;
@@ -86,7 +86,7 @@
   CHECK(replaced());
 }
 
-TEST_CASE("a farewell is known without waiting for the failure detector") {
+TEST_CASE("an announced stop is known without waiting for the failure detector") {
   virtual_network network{9, 0.0};
   network.run_until(30_s, [&] { return network.all_complete(9); });
   network.at(2)->leave(network.now);
--- a/tests/membership/partition_test.cpp
+++ b/tests/membership/partition_test.cpp
@@ -6,8 +6,8 @@
 using namespace sedgechute::literals;
 using sedgechute::test::virtual_network;
 
-// The link between two data centres is down for longer than any timeout, so each side calls the
-// other one dead and stops probing it. Without more, both fleets would stay apart for good.
+// A data centre is cut off for longer than any timeout, so each side considers the other dead and
+// no longer probes it. Without probes of listed hosts, the two sides would never rejoin.
 TEST_CASE("a partition heals without an operator") {
   for (const std::size_t hosts : {9U, 90U}) {
     virtual_network network{hosts, 0.0};
@@ -23,9 +23,9 @@
   }
 }
 
-// Two data centres cannot reach each other but both reach a third. Hosts stay members, since the
-// third probes on behalf of the others.
-TEST_CASE("a broken link between two data centres makes nobody dead while a third reaches both") {
+// Two data centres can't reach each other, but both reach a third. Hosts must stay members, because
+// hosts of the third answer indirect probes.
+TEST_CASE("no host is dead if the link of two data centres is broken but a third reaches both") {
   virtual_network network{9, 0.0};
   network.run_until(30_s, [&] { return network.all_complete(9); });
   network.cut = [](std::size_t a, std::size_t b) { return a % 3 + b % 3 == 1; };
@@ -37,9 +37,9 @@
   CHECK(incomplete == 0);
 }
 
-// A process is stopped for longer than every timeout and then goes on. Its first look at its clocks
-// says that everybody has failed to answer.
-TEST_CASE("a paused host wakes up, is believed again and accuses nobody") {
+// A process is paused for longer than any timeout. When it resumes, its timeouts seem to show that
+// all other hosts have failed to answer.
+TEST_CASE("a resumed host rejoins and suspects no other host") {
   virtual_network network{9, 0.0};
   network.run_until(30_s, [&] { return network.all_complete(9); });
   network.paused.insert(3);
--- a/tests/membership/virtual_network.hpp
+++ b/tests/membership/virtual_network.hpp
@@ -12,7 +12,8 @@
 
 namespace sedgechute::test {
 
-/// \brief Members in one process over a network that loses, delays and cuts, in virtual time.
+/// \brief Members on a simulated network that loses and delays messages and cuts links, in virtual
+/// time.
 class virtual_network {
  public:
   virtual_network(std::size_t hosts, double loss_share, std::uint64_t seed = 1)
@@ -29,7 +30,7 @@
     return data_centre_id{"dc-" + std::to_string(i % 3)};
   }
 
-  /// \brief Starts a process at place `i` with a new incarnation number.
+  /// \brief Starts a process of host `i` with a new incarnation number.
   void start(std::size_t i) {
     if (members_.size() <= i)
       members_.resize(i + 1);
@@ -46,7 +47,8 @@
       run_step();
   }
 
-  /// \returns the time until `condition` holds, or `limit`
+  /// \brief Runs until `condition` holds or `limit` has passed.
+  /// \returns the time that passed
   time_ms run_until(time_ms limit, const std::function<bool()>& condition) {
     const time_ms start = now;
     while (now - start < limit && !condition())
@@ -56,7 +58,7 @@
 
   [[nodiscard]] membership* at(std::size_t i) { return members_[i].get(); }
 
-  /// \returns how many of the running members show `wanted` in their view
+  /// \returns how many other running members show host `i` in their view
   [[nodiscard]] std::size_t seen_by(std::size_t i) {
     std::size_t count = 0;
     for (std::size_t other = 0; other < members_.size(); ++other)
@@ -77,7 +79,7 @@
     return true;
   }
 
-  double loss; ///< share of messages lost
+  double loss; ///< fraction of messages lost
   time_ms now{1000000};
   std::set<std::size_t> paused;
   std::function<bool(std::size_t, std::size_t)> cut = [](auto, auto) { return false; };
--- a/tests/membership/wire_test.cpp
+++ b/tests/membership/wire_test.cpp
@@ -9,7 +9,7 @@
 using namespace sedgechute::literals;
 using sedgechute::test::virtual_network;
 
-TEST_CASE("messages survive the wire and their size and rate are bounded") {
+TEST_CASE("messages are unchanged after encoding, and their size and rate are bounded") {
   constexpr std::size_t hosts = 120;
   virtual_network network{hosts, 0.02};
   std::size_t largest = 0;
