--- a/src/relay/impl/admitted_request.cpp
+++ b/src/relay/impl/admitted_request.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr time_ms default_patience{30000}; // for a caller that names none
+constexpr time_ms default_patience{30000}; // when the caller sends none
 
 const route& route_of(const request_head& head, const fleet_config& config) {
   const std::string* host = head.fields.find("Host");
@@ -28,8 +28,8 @@
   return *found;
 }
 
-// Whoever registers under the name of a service that the configuration does not describe is no
-// endpoint of the fleet, also where a route names that service.
+// Endpoints registered for a service that the configuration does not describe do not belong to the
+// fleet, even if a route names the service.
 const service_traits& traits_of(const admitted_request& request) {
   const service_traits* found = request.config->find_service(request.service);
   if (found == nullptr)
--- a/src/relay/impl/caller_answer.cpp
+++ b/src/relay/impl/caller_answer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr time_ms most_caller_write{10000}; // a caller that reads nothing for so long has gone
+constexpr time_ms most_caller_write{10000}; // a caller that reads nothing for longer has failed
 
 std::string chunk_of(std::string_view bytes) {
   std::array<char, 20> size{};
--- a/src/relay/impl/caller_answer.hpp
+++ b/src/relay/impl/caller_answer.hpp
@@ -11,20 +11,22 @@
 
 namespace sedgechute {
 
-/// \brief The answer to one caller: what it will get, and what it has. A stream may come from
-/// several runs; the caller sees one header and each event once.
+/// \brief Writes the answer to one caller and records what has been sent. A stream may be put
+/// together from several runs; the caller sees one header and each event once.
 class caller_answer {
  public:
-  /// \param stop  ends waits for the caller; once it has begun, a header says that its connection
-  ///   is closed behind the answer
+  /// \param stop  interrupts writes to the caller at its cut; once it has begun, headers contain
+  ///   `Connection: close`
   caller_answer(connection& caller, const planned_stop& stop);
 
-  /// \brief The header of a run. A stream keeps that of its first run.
+  /// \brief Sets the header of the answer. A stream keeps the header of its first run.
   void take_head(const response_head& head);
-  /// \brief Keeps the body of an endpoint's error, for the case that no other endpoint answers.
+  /// \brief Stores the body of an endpoint's error, for `deliver_kept` if no other endpoint
+  /// answers.
   void keep_body(std::string body) { kept_body_ = std::move(body); }
 
-  // All that write return false when the caller has failed, or reads nothing.
+  // These return false when the connection failed, the caller did not read in time, or the stop of
+  // the host interrupted the write.
   [[nodiscard]] bool deliver(const std::string& body);
   [[nodiscard]] bool deliver_kept() { return deliver(kept_body_); }
   [[nodiscard]] bool pass_events(const std::string& events);
@@ -36,16 +38,16 @@
   [[nodiscard]] int status() const noexcept { return head_.status; }
   [[nodiscard]] bool stream_begun() const noexcept { return stream_begun_; }
   [[nodiscard]] bool caller_failed() const noexcept { return caller_failed_; }
-  /// \returns whether its header says that the connection ends
+  /// \returns whether the header sent contains `Connection: close`
   [[nodiscard]] bool told_end() const noexcept { return told_end_; }
-  /// \returns whether the stop of the host ended a write
+  /// \returns whether the stop of the host interrupted the last write
   [[nodiscard]] bool cut() const noexcept { return cut_; }
-  /// \returns when the first event, or the answer, was ready for the caller
+  /// \returns when the first event, or the whole answer, was ready to be written; nothing before
   [[nodiscard]] std::optional<time_ms> first_ready() const noexcept { return first_ready_; }
   void note_ready();
 
  private:
-  /// \returns the header that the caller gets, without what tells the body's end
+  /// \returns the header for the caller, without `Content-Length` and `Transfer-Encoding`
   [[nodiscard]] response_head answer_head();
   [[nodiscard]] bool begin_stream();
 
--- a/src/relay/impl/caller_poll.cpp
+++ b/src/relay/impl/caller_poll.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr std::size_t most_events = 64;
-constexpr int accepted_at_once = 64; // then the others get their turn
+constexpr int accepted_at_once = 64; // so that a burst of connects does not delay other events
 constexpr time_ms look_interval{1000};
 constexpr time_ms closing_look_interval{100}; // while connections are being closed
 
@@ -119,8 +119,8 @@
   }
 }
 
-// Without descriptors, or with as many connections as are allowed, those that wait to be accepted
-// wait until others have been closed.
+// When descriptors run out or the connection limit is reached, new connections stay in the listen
+// queue until others have been closed.
 void caller_poll::accept_callers() {
   for (int i = 0; i < accepted_at_once; ++i) {
     if (connections_ >= options_.most_connections) {
@@ -137,7 +137,7 @@
     auto caller = std::make_unique<open_caller>(socket, time_, connections_);
     if (i == 0)
       park(std::move(caller));
-    else // callers have queued up, and their requests are likely to be here
+    else // after a queue of connects the first request has probably arrived
       take_bytes(std::move(caller));
   }
 }
@@ -164,7 +164,7 @@
     on_ready_(std::move(caller));
     break;
   case io_status::timed_out:
-    park(std::move(caller)); // nothing has come after all
+    park(std::move(caller)); // spurious wake-up
     break;
   case io_status::ended:
   case io_status::reset:
@@ -174,7 +174,7 @@
   }
 }
 
-// Closing with bytes unread would reset the connection and could take the answer from its caller.
+// Closing a socket with unread bytes resets the connection, and the caller could lose the answer.
 void caller_poll::drain(std::unique_ptr<open_caller> caller) {
   io_status status = io_status::ok;
   while (status == io_status::ok) {
@@ -200,8 +200,8 @@
   park(std::move(caller));
 }
 
-// A connection that a stop has ended is closed here if nothing has come on it; what has come is
-// served or refused like any other request.
+// During a stop an idle connection is closed here; a request that has already arrived on it is
+// served or refused like any other.
 void caller_poll::park(std::unique_ptr<open_caller> caller) {
   const std::scoped_lock lock{mutex_};
   const bool ends = all_closed_ || (served_closed_ && caller->requests > 0);
--- a/src/relay/impl/caller_poll.hpp
+++ b/src/relay/impl/caller_poll.hpp
@@ -25,30 +25,30 @@
 
   Poco::Net::StreamSocket socket;
   connection link;
-  std::size_t requests{0}; ///< that have come on it
-  time_ms since;           ///< it waits
-  bool arriving{false};    ///< a part of a request has come
-  bool overdue{false};     ///< the rest did not come soon
-  bool shed{false};        ///< what arrives is to be refused
-  bool registered{false};  ///< with the poll
+  std::size_t requests{0}; ///< received on this connection
+  time_ms since;           ///< when the current wait began
+  bool arriving{false};    ///< part of a request has been read
+  bool overdue{false};     ///< the rest did not arrive within `arriving_timeout`
+  bool shed{false};        ///< the arriving request is to be refused
+  bool registered{false};  ///< its descriptor has been added to the epoll set
   std::atomic<std::size_t>& count;
-  std::atomic<std::size_t>* closing{nullptr}; ///< counts it once it is answered for the last time
+  std::atomic<std::size_t>* closing{nullptr}; ///< counter of closing connections; null before
 };
 
 struct caller_poll_options {
   std::size_t most_connections{3000};
-  time_ms closing_timeout{300};  ///< for a caller to read the last answer
-  time_ms arriving_timeout{500}; ///< for the rest of a request, before a thread waits for it
+  time_ms closing_timeout{300};  ///< for the caller to read the last answer and close
+  time_ms arriving_timeout{500}; ///< for the rest of a request; then a thread takes over the wait
 };
 
-/// \brief Accepts callers' connections and waits, on one thread, for what comes on those that no
-/// request is being served on.
+/// \brief Accepts callers' connections and polls, on one thread, all connections on which no
+/// request is being served.
 class caller_poll {
  public:
-  /// \brief Takes a connection on which bytes have come; they are in its buffer.
+  /// \brief Receives a connection whose buffer holds newly read bytes.
   using ready_handler = std::function<void(std::unique_ptr<open_caller>)>;
 
-  /// \param idle_timeout  after which a connection without a request is closed
+  /// \param idle_timeout  returns the time after which a connection without a request is closed
   caller_poll(const Poco::Net::ServerSocket& socket, const planned_stop& stop,
               std::function<time_ms()> idle_timeout, const caller_poll_options& options,
               const clock& time, structured_log& log, ready_handler on_ready);
@@ -59,13 +59,14 @@
   void start();
   void stop() noexcept;
 
-  /// \brief Waits for the next request on a connection, or for the rest of one.
+  /// \brief Waits for the next request on a connection, or for the rest of a partly read one.
   void wait_for_request(std::unique_ptr<open_caller> caller);
-  /// \brief Ends our side; closes the connection once its caller has, or soon.
+  /// \brief Shuts down writing; closes the connection when the caller does, or after
+  /// `closing_timeout`.
   void close_gently(std::unique_ptr<open_caller> caller);
 
   [[nodiscard]] std::size_t connections() const noexcept { return connections_; }
-  /// \returns connections that are being closed
+  /// \returns the number of connections that are being closed
   [[nodiscard]] std::size_t closing() const noexcept { return closing_; }
 
  private:
@@ -76,11 +77,11 @@
   void accept_callers();
   void listen(bool on) noexcept;
   void note_ready(int descriptor);
-  /// \brief Reads what has come, and hands the connection over if anything has.
+  /// \brief Reads available bytes and passes the connection to the handler if there are any.
   void take_bytes(std::unique_ptr<open_caller> caller);
   void drain(std::unique_ptr<open_caller> caller);
   void park(std::unique_ptr<open_caller> caller);
-  /// \param served_only  connections that still wait for their first request are kept
+  /// \param served_only  keeps connections that have not had a request yet
   void close_waiting(bool served_only);
   void close_overdue();
   void add(int descriptor) noexcept;
@@ -100,7 +101,7 @@
   std::atomic<std::size_t> closing_{0};
   ordered_mutex mutex_{lock_rank::worker_pool};
   callers callers_;
-  bool served_closed_{false}; ///< connections that have been served wait no more
+  bool served_closed_{false}; ///< connections that have had a request are closed when idle
   bool all_closed_{false};
   std::thread thread_;
 };
--- a/src/relay/impl/choose_replica.hpp
+++ b/src/relay/impl/choose_replica.hpp
@@ -10,27 +10,27 @@
 
 namespace sedgechute {
 
-/// \brief Weights of the choice, in milliseconds of a caller's wait or as figures of the engines.
+/// \brief Weights of the placement cost, most of them in milliseconds of a caller's waiting time.
 struct choice_weights {
-  /// Prompt tokens that an engine reads in a millisecond.
+  /// Prompt tokens that an engine prefills per millisecond.
   double tokens_read_a_ms{60};
-  /// Tokens of a prompt that waits at an engine and of which nothing else is known.
+  /// Assumed length of a prompt that waits at an engine and whose size is unknown.
   double waiting_prompt_tokens{2500};
-  /// What each running answer adds to a step, and so to the wait of the next.
+  /// Time that each running answer adds to an engine step, and so to the wait of a new request.
   double wait_for_each_running_ms{0.6};
-  /// What a full batch costs a newcomer, for each request beyond its slots.
+  /// Wait of a new request at a full batch, for each request beyond the engine's slots.
   double wait_beyond_slots_ms{60};
-  /// Dislike of reading a token that another engine keeps: what it costs the engines' other
-  /// callers, several times the time that the reading takes.
+  /// Cost of prefilling a token that another engine has cached. It covers the delay of the engine's
+  /// other callers, and so is several times the prefill time.
   double reread_token_ms{0.2};
-  /// The same when the token is fetched from the engine that keeps it.
+  /// Cost of fetching a cached token from another engine.
   double fetched_token_ms{0.02};
-  /// Dislike of reading a token elsewhere than at its home, where the next prompts look for it:
-  /// what it pushes out elsewhere is read again by others.
+  /// Cost of caching a token elsewhere than at the home endpoint of its prefix, where later prompts
+  /// look for it: the tokens that it evicts there have to be prefilled again.
   double away_token_ms{0.04};
-  /// Dislike of an endpoint that has failed each of its last requests.
+  /// Cost of an endpoint that has failed each of its last requests.
   double failing_ms{3000};
-  /// How long what an endpoint said of its load counts. Loads change within a second.
+  /// Maximum age of a load report that is still used. Loads change within a second.
   time_ms load_stays{1500};
   /// Another data centre costs a round trip and traffic between them.
   double other_centre_ms{4};
@@ -38,26 +38,27 @@
 
 /// \brief One endpoint as a candidate for one request.
 struct replica_candidate {
-  std::uint64_t open_here{};          ///< requests of this host that it works on
-  std::uint64_t unread_tokens_here{}; ///< of prompts this host sent and that have no event yet
-  std::uint64_t open_elsewhere{};     ///< the same of other hosts, as they told
+  std::uint64_t open_here{};          ///< requests of this host in flight at the endpoint
+  std::uint64_t unread_tokens_here{}; ///< prompt tokens of those that have had no event yet
+  std::uint64_t open_elsewhere{};     ///< requests of other hosts, as they reported
   std::uint64_t unread_tokens_elsewhere{};
-  std::optional<load_report> load; ///< as the endpoint told
+  std::optional<load_report> load; ///< last one from the endpoint
   time_ms load_age;
-  std::uint64_t sent_since_load{}; ///< by this host
+  std::uint64_t sent_since_load{}; ///< requests that this host sent since that report
   std::uint64_t slots{1};
   double failing{}; ///< 0: none of the last requests failed; 1: all
   bool other_centre{false};
-  std::uint64_t missing_tokens{};   ///< of the prompt's shared start, that it does not keep
-  std::uint64_t fetchable_tokens{}; ///< of these, that another endpoint keeps
-  bool home{false};                 ///< prompts with this start belong here
+  std::uint64_t missing_tokens{};   ///< tokens of the shared prefix that it has not cached
+  std::uint64_t fetchable_tokens{}; ///< missing tokens that another endpoint has cached
+  bool home{false};                 ///< home endpoint of the prefix
 };
 
-/// \brief Requests that the endpoint works on or has waiting, as far as is known here.
+/// \returns an estimate of the requests that run or wait at the endpoint
 [[nodiscard]] double expected_open(const replica_candidate& candidate,
                                    const choice_weights& weights) noexcept;
 
-/// \brief The cost of sending a request there: its wait and what it costs others.
+/// \returns the cost of sending a request to the endpoint, in milliseconds: its expected wait and
+/// the delay that it causes for other requests
 [[nodiscard]] double placement_cost(const replica_candidate& candidate, std::uint64_t prompt_tokens,
                                     const choice_weights& weights) noexcept;
 
--- a/src/relay/impl/connection.cpp
+++ b/src/relay/impl/connection.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 constexpr std::size_t read_block_bytes = 16 * 1024;
-constexpr std::size_t compact_above = 64 * 1024; // consumed bytes kept before the buffer is moved
+constexpr std::size_t compact_above = 64 * 1024; // consumed bytes that compact the buffer
 
-// A host that lost power or is cut off answers nothing. The kernel gives up on unacknowledged
-// bytes after the first bound, and on an idle connection after the probes. Both lie above the
-// longest retransmission seen on links that lose a few packets in a hundred.
+// A machine that lost power or is cut off does not reply. The kernel gives up on unacknowledged
+// bytes after `unacknowledged_ms`, and on an idle connection after the keepalive probes. Both times
+// exceed the longest retransmission seen on links that lose a few packets in a hundred.
 constexpr int unacknowledged_ms = 2000;
 constexpr int idle_before_probe_s = 2;
 constexpr int probe_interval_s = 1;
@@ -55,7 +55,7 @@
   try {
     socket_.close();
   } catch (const Poco::Exception&) {
-    return; // it has been closed by the other side; there is nothing left to free
+    return; // the peer has closed the connection; there is nothing left to free
   }
 }
 
@@ -197,7 +197,7 @@
     auto link = std::make_unique<connection>(socket, time);
     const io_status status = link->wait_open(time.now() + timeout, watch);
     if (status != io_status::ok)
-      return {nullptr, status}; // whoever asked logs the endpoint as unreachable
+      return {nullptr, status}; // the caller of this function logs the endpoint as unreachable
     socket.setNoDelay(true);
     guard_against_silence(socket);
     return {std::move(link), status};
--- a/src/relay/impl/connection.hpp
+++ b/src/relay/impl/connection.hpp
@@ -14,11 +14,11 @@
 
 enum class io_status {
   ok,
-  ended,       ///< the other side closed in good order
+  ended,       ///< the peer closed the connection in order
   reset,       ///< the connection failed
-  timed_out,   ///< nothing within the time given
-  caller_left, ///< the caller that is being served closed its connection
-  interrupted, ///< the host stops
+  timed_out,   ///< nothing happened before the deadline
+  caller_left, ///< the watched caller closed its connection
+  interrupted, ///< the host is stopping
 };
 
 template <>
@@ -31,22 +31,24 @@
                                                          {io_status::interrupted, "interrupted"}});
 };
 
-/// \brief Tells whether the caller on a connection is still there, without reading its bytes, and
-/// whether the host still serves it.
+/// \brief Detects, without consuming bytes, that a caller has closed its connection, and provides
+/// the descriptor by which the stop of the host interrupts waits.
 class caller_watch {
  public:
-  /// \param descriptor  of the caller's connection; -1: only the host is watched
-  /// \param interrupt  readable once waits shall end; -1: they never do
+  /// \param descriptor  of the caller's connection; -1: no caller is watched
+  /// \param interrupt  becomes readable when waits must end; -1: never
   explicit caller_watch(int descriptor, int interrupt = -1) noexcept
       : descriptor_{descriptor}, interrupt_{interrupt} {}
 
   [[nodiscard]] int descriptor() const noexcept { return descriptor_; }
   [[nodiscard]] int interrupt() const noexcept { return interrupt_; }
-  /// \brief Events to poll for: once the caller has sent ahead, its bytes no longer wake us.
+  /// \returns the events to poll for; once the caller has pipelined bytes, `POLLIN` is left out, as
+  /// it would end each poll at once
   [[nodiscard]] short events() const noexcept;
   /// \param seen  events that `poll` returned
+  /// \returns whether the caller has closed its connection
   [[nodiscard]] bool left(short seen) noexcept;
-  /// \returns whether the caller has left by now, without waiting
+  /// \returns whether the caller has closed its connection; does not wait
   [[nodiscard]] bool left_by_now() noexcept;
 
  private:
@@ -55,7 +57,7 @@
   bool sent_ahead_{false};
 };
 
-/// \brief A TCP connection with a read buffer; each wait has a deadline and may watch a caller.
+/// \brief A TCP connection with a read buffer. Each wait has a deadline and may watch a caller.
 class connection {
  public:
   connection(const Poco::Net::StreamSocket& socket, const clock& time);
@@ -63,12 +65,12 @@
   connection& operator=(const connection&) = delete;
   ~connection();
 
-  /// \brief Bytes that have been read and not yet consumed.
+  /// \returns bytes that have been read and not yet consumed
   [[nodiscard]] std::string_view buffered() const noexcept;
   void consume(std::size_t count) noexcept;
 
-  /// \brief Waits until a connection that was begun is there.
-  /// \returns `reset` when it was refused
+  /// \brief Waits until a non-blocking connect completes.
+  /// \returns `reset` when the connection was refused
   [[nodiscard]] io_status wait_open(time_ms deadline, caller_watch* watch);
 
   /// \brief Reads at least one more byte into the buffer.
@@ -76,20 +78,20 @@
   [[nodiscard]] io_status write_all(std::string_view bytes, time_ms deadline,
                                     caller_watch* watch = nullptr);
 
-  /// \brief Reads up to and with the empty line that ends a header.
-  /// \param most  bytes of a header
-  /// \returns `reset` for a longer one, too
+  /// \brief Reads a header up to and including the empty line that ends it.
+  /// \param most  maximum size of the header in bytes
+  /// \returns `reset` also for a larger header
   [[nodiscard]] io_status read_head(std::string& into, std::size_t most, time_ms deadline,
                                     caller_watch* watch = nullptr);
 
-  /// \returns whether no byte has come and the other side has not closed.
+  /// \returns whether there are no unread bytes and the peer has not closed the connection
   [[nodiscard]] bool quiet() noexcept;
 
-  /// \brief Frees the memory of an empty buffer.
+  /// \brief Frees the memory of the buffer if it is empty.
   void trim() noexcept;
-  /// \brief Ends our side; what the other side sends may still be read.
+  /// \brief Shuts down writing; bytes from the peer can still be read.
   void end_writing() noexcept;
-  /// \brief Resets the connection, so that what was sent cannot pass for a complete answer.
+  /// \brief Resets the connection, so that the peer cannot take a partial message for a whole one.
   void abort() noexcept;
 
   [[nodiscard]] int descriptor() const noexcept { return descriptor_; }
@@ -106,18 +108,19 @@
 };
 
 struct connect_result {
-  std::unique_ptr<connection> link; ///< null when there is none
-  /// Why there is none. `timed_out`: nothing answered; a refusal (`reset`) proves at least a live
-  /// host.
+  std::unique_ptr<connection> link; ///< null when the connect failed
+  /// Why the connect failed. `timed_out`: no reply at all; `reset`: refused, so the machine at the
+  /// address is at least alive.
   io_status status{io_status::ok};
 };
 
 /// \param address  `IP:port`
-/// \param watch    ends the wait for the other side
+/// \param watch    ends the wait early when its caller leaves or the host stops
 [[nodiscard]] connect_result connect_to(const std::string& address, time_ms timeout,
                                         const clock& time, caller_watch* watch = nullptr);
 
-/// \brief Sets what ends a connection whose other side has gone without a word.
+/// \brief Sets keepalive and user timeout, so that a connection fails when its peer has vanished
+/// without closing it.
 void guard_against_silence(Poco::Net::StreamSocket& socket);
 
 } // namespace sedgechute
--- a/src/relay/impl/connection_pool.cpp
+++ b/src/relay/impl/connection_pool.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-constexpr std::size_t most_idle_connections = 16; // to one endpoint; more are hardly in use at once
+constexpr std::size_t most_idle_connections = 16; // per endpoint; more are rarely in use at once
 
-// Idle for longer, connections are not used by any kind of request; endpoints close them.
+// No kind of request uses a connection that was idle for longer; endpoints close them.
 constexpr time_ms longest_kept{10000};
-constexpr time_ms look_interval{2000}; // all endpoints are walked at most so often
+constexpr time_ms look_interval{2000}; // between two scans of all endpoints
 
 } // namespace
 
 std::unique_ptr<connection> connection_pool::take(const endpoint_id& endpoint, std::uint64_t life,
                                                   time_ms most_idle) {
-  std::vector<idle_connection> stale; // closed after the lock is free
+  std::vector<idle_connection> stale; // declared before the lock: closed after its release
   const std::scoped_lock lock{mutex_};
   const auto at = known_.find(endpoint);
   if (at == known_.end() || at->second.life > life)
@@ -54,8 +54,8 @@
     kept.idle.push_back({std::move(idle), time_.now()});
 }
 
-// Nobody asks for connections to an endpoint that is gone. Kept, they would hold a descriptor each
-// until this host stops; each replacement of the endpoints would add some.
+// No request uses connections to a removed endpoint. Without expiry each would hold a descriptor
+// until this host stops, and each replacement of endpoints would add more.
 std::vector<connection_pool::idle_connection> connection_pool::take_old() {
   std::vector<idle_connection> old;
   const time_ms now = time_.now();
@@ -63,7 +63,7 @@
     return old;
   looked_for_old_ = now;
   for (auto at = known_.begin(); at != known_.end();) {
-    std::vector<idle_connection>& idle = at->second.idle; // the longest idle first
+    std::vector<idle_connection>& idle = at->second.idle; // sorted, longest idle first
     const auto young = std::find_if(
         idle.begin(), idle.end(), [&](const auto& one) { return now - one.since <= longest_kept; });
     old.insert(old.end(), std::make_move_iterator(idle.begin()), std::make_move_iterator(young));
--- a/src/relay/impl/connection_pool.hpp
+++ b/src/relay/impl/connection_pool.hpp
@@ -10,17 +10,17 @@
 
 namespace sedgechute {
 
-/// \brief Idle connections to endpoints. A connection comes back only after a whole, undisturbed
-/// exchange: on one that was abandoned, the rest of the old answer would pass for the next one's.
-/// Connections end with the life of their endpoint: a process that is gone without a word takes a
-/// request's bytes into nothing, and the request may then have run as far as can be told.
+/// \brief Idle connections to endpoints. A connection is returned only after a complete exchange:
+/// on an abandoned one the rest of the old answer would be taken for the next answer. When an
+/// endpoint restarts its old connections are closed: bytes of a request sent on them would be lost,
+/// and the request would have to be treated as one that may have run.
 class connection_pool {
  public:
   explicit connection_pool(const clock& time) : time_{time} {}
 
-  /// \param life  of the endpoint; connections to earlier ones are closed
-  /// \param most_idle  a connection that was idle for longer is not taken
-  /// \returns an idle connection on which nothing has come meanwhile, or null
+  /// \param life  current life of the endpoint; connections to earlier lives are closed
+  /// \param most_idle  connections that were idle for longer are closed
+  /// \returns an open idle connection without unread bytes, or null
   [[nodiscard]] std::unique_ptr<connection> take(const endpoint_id& endpoint, std::uint64_t life,
                                                  time_ms most_idle);
   void give_back(const endpoint_id& endpoint, std::uint64_t life, std::unique_ptr<connection> idle);
@@ -37,7 +37,8 @@
     std::vector<idle_connection> idle;
   };
 
-  /// \brief Takes out what no request will use again, of all endpoints, to be closed.
+  /// \brief Removes expired connections of all endpoints.
+  /// \returns the removed connections; destroying them closes them
   [[nodiscard]] std::vector<idle_connection> take_old();
 
   const clock& time_;
--- a/src/relay/impl/connection_source.hpp
+++ b/src/relay/impl/connection_source.hpp
@@ -11,10 +11,10 @@
 
 namespace sedgechute {
 
-/// \brief Lets a body be decoded from a connection, and tells why reading stopped.
+/// \brief Adapts a connection to `byte_source` and records how the last read ended.
 class connection_source final : public byte_source {
  public:
-  /// \param deadline  asked before each wait: until when it may last
+  /// \param deadline  called before each wait; returns its deadline
   connection_source(connection& from, std::function<time_ms()> deadline, caller_watch* watch)
       : from_{from}, deadline_{std::move(deadline)}, watch_{watch} {}
 
@@ -39,7 +39,7 @@
     return count;
   }
 
-  /// \returns how the last wait for bytes ended
+  /// \returns how the last read from the connection ended
   [[nodiscard]] io_status last() const noexcept { return last_; }
 
  private:
--- a/src/relay/impl/elastic_pool.cpp
+++ b/src/relay/impl/elastic_pool.cpp
@@ -25,7 +25,7 @@
     added.thread.setStackSize(options_.stack_bytes);
     added.thread.startFunc([this, &added] { serve(added); });
   } catch (const Poco::Exception&) {
-    workers_.pop_back(); // the task waits for a thread that becomes free
+    workers_.pop_back(); // no thread could be started: the task waits for a running one
   }
   return true;
 }
@@ -50,7 +50,7 @@
   self.ended = true;
 }
 
-// Ended threads have left their last section under the lock, so joining them takes no time.
+// An ended thread has set `ended` as its last step under the lock, so joining it does not block.
 void elastic_pool::join_ended() noexcept {
   for (auto at = workers_.begin(); at != workers_.end();) {
     if ((*at)->ended) {
--- a/src/relay/impl/elastic_pool.hpp
+++ b/src/relay/impl/elastic_pool.hpp
@@ -15,13 +15,13 @@
 
 struct elastic_pool_options {
   std::size_t most_threads{700};
-  std::size_t most_queued{256}; ///< tasks beyond those that have a thread
-  time_ms idle_timeout{5000};   ///< after which a thread without a task ends
+  std::size_t most_queued{256}; ///< tasks waiting while no thread is idle
+  time_ms idle_timeout{5000};   ///< after which an idle thread ends
   int stack_bytes{256 * 1024};
 };
 
-/// \brief Runs each task on a thread of its own, as far as there may be more; threads are kept for
-/// a while. Handing a task over does not wait for a thread to start. Thread-safe.
+/// \brief A thread pool that grows up to `most_threads` and ends threads that stay idle. Submitting
+/// a task does not wait for a thread to start. Thread-safe.
 class elastic_pool {
  public:
   using task = std::function<void()>;
@@ -29,10 +29,10 @@
   explicit elastic_pool(const elastic_pool_options& options) : options_{options} {}
   elastic_pool(const elastic_pool&) = delete;
   elastic_pool& operator=(const elastic_pool&) = delete;
-  /// \brief Drops what is queued and waits for what runs.
+  /// \brief Drops queued tasks and waits for running ones.
   ~elastic_pool() { stop(); }
 
-  /// \returns false when as many tasks are queued as may be, or the pool stops
+  /// \returns false when the queue is full or the pool is stopping
   [[nodiscard]] bool run(task work);
   void stop() noexcept;
 
--- a/src/relay/impl/endpoint_directory.cpp
+++ b/src/relay/impl/endpoint_directory.cpp
@@ -8,26 +8,27 @@
 
 namespace {
 
-// Weight of one result in an endpoint's share of failures: five bad results in a row say 0.67.
+// Weight of one result in the moving average of failures: five failures in a row give 0.67.
 constexpr double result_weight = 0.2;
 
-// A failing endpoint is tried again as its failures fade: half after so long. Crashed engines are
-// back within some seconds.
+// Half-life of the failure average, after which a failing endpoint is tried again. Crashed engines
+// are back within some seconds.
 constexpr double failures_halve_ms = 1500;
 
-// What a host told counts for so long after its last report; hosts report once a second.
+// Reports of a host that has been silent for longer are discarded; hosts report once a second.
 constexpr time_ms silent_host{3000};
 
-// Engines of half a million tokens read some 10,000 new ones a second at their usual load.
+// Engines evict cached prefixes: one with room for half a million tokens prefills some 10,000 new
+// ones a second at its usual load.
 constexpr time_ms starts_kept{25000};
 
-// An endpoint that may have started again is asked so often, at most each `ask_interval`: its
-// answer may be lost, and one that never says when it started shall not be asked for ever.
+// Start time queries of an endpoint that may have restarted, at least `ask_interval` apart. More
+// than one, as a reply may be lost; bounded, as some endpoints never report a start time.
 constexpr int most_asks = 3;
 constexpr time_ms ask_interval{2000};
 
-// Endpoints tried in one round of probes; a refused round takes some milliseconds, a silent one up
-// to a second.
+// Endpoints per round of probes. A round takes some milliseconds when connections are refused, and
+// up to a second when endpoints are silent.
 constexpr std::size_t most_probes = 6;
 
 double faded(double failing, time_ms span) noexcept {
@@ -55,10 +56,9 @@
     on_restart_(*restart);
 }
 
-// Clocks of machines are set, so of two starts neither value tells which is the later one. The list
-// shows them in their order: whatever it shows last holds. The endpoint itself may have named a
-// start before the list shows it; until then entries that the list repeats are of a life that has
-// ended.
+// Wall clocks may be set back, so the values of two start times do not tell which is later. The
+// order of the list does: its last entry holds. An endpoint may have reported a start time that the
+// list does not show yet; until it does, repeated list entries belong to an earlier incarnation.
 std::optional<endpoint_restart> endpoint_directory::take_entry(endpoint_entry entry) {
   const auto [at, first] = endpoints_.try_emplace(entry.id);
   state& of = at->second;
@@ -70,7 +70,7 @@
   }
   const bool ahead_of_list = of.entry.started != of.listed;
   if (!entry.started)
-    entry.started = of.entry.started; // says nothing of its start
+    entry.started = of.entry.started; // the entry has no start time
   else if (ahead_of_list && entry.started == of.listed)
     return std::nullopt;
   else
@@ -81,7 +81,7 @@
   }
   const auto restart = begin_again(of, std::move(entry), restart_source::list);
   if (ahead_of_list)
-    doubt_start(of); // the list may still be behind what the endpoint said
+    doubt_start(of); // the list may still be behind what the endpoint reported
   return restart;
 }
 
@@ -94,8 +94,8 @@
   return made;
 }
 
-// The new life holds no prompts and runs nothing; the way to it may be open again. What the other
-// hosts tell of the earlier one is told under another name.
+// The new incarnation has an empty cache and runs nothing, and it may be reachable again. Reports
+// of other hosts on the earlier incarnation carry a different hash.
 std::optional<endpoint_restart> endpoint_directory::begin_again(state& of, endpoint_entry entry,
                                                                 restart_source found_by) {
   const std::optional<time_ms> before = of.entry.started;
@@ -105,7 +105,7 @@
   of = std::move(next);
   reach_.forget(of.entry.id);
   if (!before)
-    return std::nullopt; // it was not known when it started: this may be the same life
+    return std::nullopt; // the start time was unknown: this may be the same incarnation
   return endpoint_restart{of.entry.id, found_by, *before, *of.entry.started};
 }
 
@@ -114,9 +114,9 @@
   return at != endpoints_.end() && at->second.life == life ? &at->second : nullptr;
 }
 
-// Connections that are refused or break off say that the endpoint may have ended. If it has begun
-// again, the list shows that only once the endpoint has reached the store and this host has read
-// it; either may be cut off from the store for long.
+// A refused or broken connection suggests that the endpoint's process has ended. The list shows a
+// restart only after the endpoint has registered and this host has read the entry; either may be
+// cut off from the store for long. So the endpoint itself is queried.
 void endpoint_directory::doubt_start(state& of) {
   if (of.entry.started)
     of.asks_left = most_asks;
@@ -163,7 +163,8 @@
     into.states.push_back(&known);
     into.candidates.push_back(candidate_of(known, now));
   }
-  // Of equals the first is chosen. In one order for all hosts that would be the same one.
+  // The first of equal candidates is chosen. Without a random rotation all hosts would choose the
+  // same one.
   if (!into.states.empty()) {
     const auto turn = static_cast<std::ptrdiff_t>(random_.below(into.states.size()));
     std::rotate(into.states.begin(), into.states.begin() + turn, into.states.end());
@@ -176,9 +177,9 @@
     into.shared_tokens = into.starts.back().tokens;
 }
 
-// Without a word between them all hosts send prompts that begin alike to the same endpoint, the one
-// of highest weight for that start: its home. What was really sent where, the hosts tell each
-// other; an endpoint without the start fetches it from one that has it.
+// Rendezvous hashing gives each prefix a home endpoint, the one of highest weight, which is the
+// same on all hosts without communication. Where prefixes were actually sent, hosts report to each
+// other; an endpoint without the prefix fetches it from one that has it.
 void endpoint_directory::compare_starts(round& among, time_ms now) const {
   if (among.shared_tokens == 0)
     return;
@@ -298,9 +299,9 @@
     return;
   case send_outcome::caller_left:
   case send_outcome::host_stopped:
-    return; // says nothing of the endpoint
+    return; // not a result of the endpoint
   case send_outcome::not_run:
-    break; // it is there, and full or leaving
+    break; // reachable, but full or leaving: no failure
   case send_outcome::answered:
     note_result(of, true, now);
     break;
@@ -332,7 +333,7 @@
     if (known.asks_left == 0 || known.ask_at > now || probes.size() >= most_probes)
       continue;
     if (!reach_.reachable(id, known.entry.data_centre))
-      continue; // asked once a probe reaches it
+      continue; // queried when a probe reaches it
     known.ask_at = now + ask_interval;
     probes.push_back({id, known.entry.address, known.life, true});
   }
@@ -351,7 +352,7 @@
     reach_.note_unreachable(of.endpoint, centre, silent, time_.now());
 }
 
-// An answer that was under way while another life was found may be of an earlier one still.
+// A reply to a probe of an earlier life is ignored: it may come from an earlier incarnation.
 void endpoint_directory::note_start(const probe& of, std::optional<time_ms> started) {
   std::optional<endpoint_restart> restart;
   {
--- a/src/relay/impl/endpoint_directory.hpp
+++ b/src/relay/impl/endpoint_directory.hpp
@@ -17,67 +17,69 @@
 
 namespace sedgechute {
 
-/// \brief An endpoint as it registered itself.
+/// \brief The registration of an endpoint.
 struct endpoint_entry {
   endpoint_id id;
   std::string service;
-  std::string address; ///< `IP:port`; may belong to another endpoint later
+  std::string address; ///< `IP:port`; another endpoint may use it later
   data_centre_id data_centre;
   std::uint64_t slots{1};
   bool draining{false};
-  /// By its machine's time of day, which may be set: another start is another incarnation, also one
-  /// that looks older. Nothing when the endpoint does not tell.
+  /// Start time by the endpoint's wall clock. The clock may be set back, so any other value, also
+  /// an earlier one, is another incarnation. Nothing when the endpoint does not report it.
   std::optional<time_ms> started{};
 };
 
-/// \brief What is to be placed.
+/// \brief A request for which an endpoint is to be chosen.
 struct placement_request {
   std::string service;
   const generation_terms* generation{nullptr}; ///< null for a plain service
-  std::vector<endpoint_hash> avoid;            ///< incarnations that this request was sent to
+  std::vector<endpoint_hash> avoid;            ///< incarnations that it has been sent to already
 };
 
-/// \brief One request's place at an endpoint, from the choice until `release`.
+/// \brief The assignment of a request to an endpoint, from the choice until `release`.
 struct placement {
   endpoint_id endpoint;
-  endpoint_hash incarnation{}; ///< the same at all hosts
-  std::uint64_t life{};        ///< of the endpoint as known here; grows with each that begins
+  endpoint_hash incarnation{}; ///< the same on all hosts
+  std::uint64_t life{};        ///< number of the incarnation on this host; later ones are larger
   std::string address;
-  std::string fetch_from; ///< endpoint that keeps parts of the prompt; or empty
-  std::uint64_t prompt_tokens{};
-  std::size_t candidates{}; ///< endpoints that could have been chosen
-  // What decided, for the log.
-  std::uint64_t expected_open{};  ///< requests there, before this one
-  std::uint64_t unread_before{};  ///< tokens of prompts there, before this one
-  std::uint64_t missing_tokens{}; ///< of the prompt's shared start
-  time_ms load_age;               ///< of what the endpoint told of its load; -1: it told nothing
+  std::string fetch_from; ///< address of an endpoint that has cached parts of the prompt; or empty
+  std::uint64_t prompt_tokens{}; ///< to be prefilled
+  std::size_t candidates{};      ///< endpoints that could have been chosen
+  // Inputs of the choice, for the log.
+  std::uint64_t expected_open{};  ///< requests at the endpoint before this one
+  std::uint64_t unread_before{};  ///< tokens of prompts that waited there before this one
+  std::uint64_t missing_tokens{}; ///< tokens of the shared prefix that it has not cached
+  time_ms load_age;               ///< age of the endpoint's load report; -1: there is none
 };
 
-/// \brief The endpoints of all services: who is there, how loaded, how sound. Whatever is known of
-/// an endpoint ends with its incarnation; what comes late of an ended one changes nothing.
-/// Thread-safe.
+/// \brief The endpoints of all services with their load, failures and reachability. All state of an
+/// endpoint belongs to its incarnation: a restart discards it, and late results of an earlier
+/// incarnation are ignored. Thread-safe.
 class endpoint_directory {
  public:
   using restart_listener = std::function<void(const endpoint_restart&)>;
 
-  /// \param random  breaks ties between equals; every host needs another one
+  /// \param random  breaks ties between equal candidates; each host needs a different sequence
   endpoint_directory(data_centre_id here, const choice_weights& weights, const clock& time,
                      random_source random = random_source::from_system());
 
-  /// \brief Before any thread uses the directory: who is told of restarts, without a lock held.
+  /// \brief Sets the listener for restarts. Must be called before any thread uses the directory;
+  /// the listener is called without a lock held.
   void on_restart(restart_listener told) { on_restart_ = std::move(told); }
 
-  /// \brief An entry as the list shows it; entries are put in the order in which it showed them.
+  /// \brief Adds or updates an endpoint. Entries must be put in the order of the endpoint list.
   void put(endpoint_entry entry);
-  /// \brief The entry is gone; requests already there go on.
+  /// \brief Removes an endpoint; requests that were sent to it go on.
   void remove(const endpoint_id& id);
   [[nodiscard]] std::vector<endpoint_id> ids() const;
 
+  /// \returns the cheapest endpoint for a request; nothing when there is no candidate
   [[nodiscard]] std::optional<placement> place(const placement_request& request);
-  /// \brief The endpoint has read the prompt: its first event came, or its answer.
+  /// \brief Records that the endpoint has read the prompt, as its first event or answer shows.
   void note_started(const placement& place);
   void note_load(const placement& place, const load_report& load);
-  /// \brief The endpoint said that it leaves, or that another has its address.
+  /// \brief Records that the endpoint is leaving, or that another one now has its address.
   void note_leaving(const placement& place);
   void release(const placement& place, send_outcome outcome, bool started);
 
@@ -85,24 +87,24 @@
     endpoint_id endpoint;
     std::string address;
     std::uint64_t life{};
-    bool ask_start{false}; ///< it may have started again: once reached it is asked
+    bool ask_start{false}; ///< it may have restarted: query its start time once connected
   };
-  /// \returns endpoints that are to be tried now: they could not be reached, or may have started
-  /// again
+  /// \returns endpoints to be probed now because they were unreachable or may have restarted
   [[nodiscard]] std::vector<probe> due_probes();
   void note_probe(const probe& of, bool reached, bool silent);
-  /// \brief The endpoint was asked when it started.
-  /// \param started  nothing when it did not say
+  /// \brief Records the reply to a query of the endpoint's start time.
+  /// \param started  nothing when there was no usable reply
   void note_start(const probe& of, std::optional<time_ms> started);
 
-  /// \brief What this host has at endpoints, for the other hosts.
-  /// \param changed_only  leaves out what was returned before and has not changed
+  /// \returns the requests of this host in flight at each endpoint, for the other hosts
+  /// \param changed_only  only entries that differ from those returned before
   [[nodiscard]] std::vector<use_entry> own_use(bool changed_only);
-  /// \returns the starts of prompts that this host sent since the last call
+  /// \returns the prompt prefixes that this host has sent to endpoints since the last call
   [[nodiscard]] std::vector<start_sighting> take_own_sightings();
-  /// \brief What another host has.
+  /// \brief Applies a report of another host.
   void take_report(const use_report& report);
 
+  /// \returns the number of endpoints of a service that are neither draining nor leaving
   [[nodiscard]] std::size_t ready(const std::string& service) const;
   [[nodiscard]] std::size_t size() const;
 
@@ -111,9 +113,9 @@
     endpoint_entry entry;
     std::uint64_t life{};
     endpoint_hash hash{};          ///< of the incarnation
-    endpoint_hash home_hash{};     ///< of the id: a restart does not move the homes of prompts
-    std::optional<time_ms> listed; ///< start in its newest entry that names one
-    int asks_left{};               ///< 0: nothing says that it may have started again
+    endpoint_hash home_hash{};     ///< of the id alone, so that a restart keeps prefix affinity
+    std::optional<time_ms> listed; ///< start time in its newest entry that has one
+    int asks_left{};               ///< start time queries left; 0: no restart is suspected
     time_ms ask_at;
     std::uint64_t open{};
     std::uint64_t unread_tokens{};
@@ -123,19 +125,19 @@
     double failing{};
     time_ms failed_at;
     bool leaving{false};
-    endpoint_use told; ///< to the other hosts
+    endpoint_use told; ///< last usage reported to the other hosts
   };
 
-  /// What the candidates of one placement have in common.
+  /// The candidates of one placement and the prefixes of its prompt.
   struct round {
     std::vector<state*> states;
     std::vector<replica_candidate> candidates;
     std::vector<prompt_start> starts;
     std::uint64_t shared_tokens{};
-    std::size_t keeper{}; ///< of the longest shared start
+    std::size_t keeper{}; ///< index of the candidate with the longest cached prefix
   };
 
-  /// \returns the endpoint while it is in the life given; null otherwise
+  /// \returns the state of an endpoint; null when it is gone or `life` is not its current one
   [[nodiscard]] state* alive(const endpoint_id& id, std::uint64_t life);
   [[nodiscard]] state new_life(endpoint_entry entry);
   [[nodiscard]] std::optional<endpoint_restart> take_entry(endpoint_entry entry);
@@ -162,8 +164,8 @@
   prompt_starts starts_;
   reach_watch reach_;
   random_source random_;
-  std::vector<start_sighting> own_sightings_; ///< not told to the others yet
-  std::uint64_t lives_{0};                    ///< that have begun
+  std::vector<start_sighting> own_sightings_; ///< not reported to the other hosts yet
+  std::uint64_t lives_{0};                    ///< number of the last one assigned
   restart_listener on_restart_;
 };
 
--- a/src/relay/impl/endpoint_exchange.cpp
+++ b/src/relay/impl/endpoint_exchange.cpp
@@ -67,7 +67,7 @@
 
 send_outcome endpoint_exchange::go(std::string_view request_text) {
   const io_status status = link_.write_all(request_text, parts_.request.deadline, &parts_.watch);
-  // An endpoint that refuses may close before it has read all; its word is still to be read.
+  // An endpoint that refuses may close before it has read all; its refusal can still be read.
   if (status == io_status::ok || status == io_status::reset)
     return read_reply();
   return end_of(status);
@@ -106,8 +106,9 @@
   return io_status::ok;
 }
 
-// Without the endpoint's mark these may be bytes of something else at its address. With the status
-// of a refusal, but not its word, the request may have run.
+// Without the field that marks an endpoint's answer, the reply may come from another program at
+// the address. A status of refusal without the field that promises that nothing ran leaves open
+// whether the request has run.
 bool endpoint_exchange::is_answer(const reply_terms& said) const {
   const bool of_this = said.echoed_id.empty() || said.echoed_id == parts_.request.terms.id;
   return of_this && said.whole && !is_promise_of_no_run(reply_.status);
--- a/src/relay/impl/endpoint_exchange.hpp
+++ b/src/relay/impl/endpoint_exchange.hpp
@@ -14,14 +14,14 @@
 
 namespace sedgechute {
 
-/// \brief What bounds an exchange with an endpoint.
+/// \brief Limits of an exchange with an endpoint.
 struct exchange_bounds {
-  time_ms longest_silence; ///< of an endpoint whose request may not be run again
+  time_ms longest_silence; ///< without a byte, when the request may not be run again
   std::size_t most_reply_head{};
-  std::size_t most_buffered_body{}; ///< of an answer that is no stream
+  std::size_t most_buffered_body{}; ///< of an answer that is not a stream
 };
 
-/// \brief One request on one connection to an endpoint, and the way of its reply to the caller.
+/// \brief Sends one request on one connection to an endpoint and passes its reply to the caller.
 class endpoint_exchange {
  public:
   struct parts {
@@ -34,10 +34,11 @@
     caller_answer& answer;
   };
 
-  /// \param sends  this one included
+  /// \param sends  number of sends of the request, including this one
   endpoint_exchange(const parts& joined, const exchange_bounds& bounds, connection& link,
                     int sends);
 
+  /// \param request_text  header and body
   [[nodiscard]] send_outcome go(std::string_view request_text);
 
   /// \returns whether the endpoint has begun to answer
@@ -48,12 +49,12 @@
  private:
   [[nodiscard]] send_outcome read_reply();
   [[nodiscard]] io_status read_final_head();
-  /// \returns whether the header is that of an answer to this request, by an endpoint
+  /// \returns whether the header belongs to an endpoint's answer to this request
   [[nodiscard]] bool is_answer(const reply_terms& said) const;
   [[nodiscard]] send_outcome take_answer();
   [[nodiscard]] send_outcome take_stream();
   void note_prompt_read();
-  /// \returns until when the next bytes of the reply are waited for
+  /// \returns the deadline of the wait for the next bytes of the reply
   [[nodiscard]] time_ms reply_deadline() const;
   [[nodiscard]] send_outcome end_of(io_status status) const;
 
@@ -66,14 +67,14 @@
   bool reusable_{false};
 };
 
-/// \returns the request as it goes to the endpoint of `place`
-/// \param resume_behind  last event that the caller has
+/// \returns the bytes of the request for the endpoint of `place`
+/// \param resume_behind  last event that the caller has received
 [[nodiscard]] std::string endpoint_request(const request_head& head, const std::string& body,
                                            const admitted_request& as, const placement& place,
                                            std::optional<std::uint64_t> resume_behind,
                                            const wire_dialect& dialect, time_ms now);
 
-/// \returns how the end of a reply's body is told
+/// \returns how the end of the reply's body is determined
 [[nodiscard]] message_framing reply_framing(const response_head& reply);
 
 } // namespace sedgechute
--- a/src/relay/impl/endpoint_incarnation.hpp
+++ b/src/relay/impl/endpoint_incarnation.hpp
@@ -7,10 +7,10 @@
 
 namespace sedgechute {
 
-/// \brief What showed that an endpoint started again under its id.
+/// \brief How a restart of an endpoint was detected.
 enum class restart_source {
-  list,     ///< its entry names another start
-  endpoint, ///< it was asked, and named another start
+  list,     ///< its entry has another start time
+  endpoint, ///< the endpoint, when asked, reported another start time
 };
 
 template <>
@@ -19,16 +19,16 @@
       {{restart_source::list, "list"}, {restart_source::endpoint, "endpoint"}});
 };
 
-/// \brief An endpoint started again under its id, and knows nothing of before.
+/// \brief A restart of an endpoint under the same id. The new process has no state of the old one.
 struct endpoint_restart {
   endpoint_id endpoint;
   restart_source found_by{restart_source::list};
-  time_ms before;  ///< the start that was known, by its machine's time of day
-  time_ms started; ///< the start that is known now
+  time_ms before;  ///< previously known start time, by the endpoint's wall clock
+  time_ms started; ///< start time known now
 };
 
-/// \brief The name of an endpoint from one start to the next, by which the hosts speak of it.
-/// \param started  by its machine's time of day; nothing when it does not tell
+/// \returns the hash that identifies one incarnation of an endpoint in reports between hosts
+/// \param started  start time by the endpoint's wall clock; nothing when it is unknown
 [[nodiscard]] endpoint_hash incarnation_of(const endpoint_id& id,
                                            std::optional<time_ms> started) noexcept;
 
--- a/src/relay/impl/endpoint_prober.cpp
+++ b/src/relay/impl/endpoint_prober.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr time_ms round_interval{100}; // well below the first wait of a probe
+constexpr time_ms round_interval{100}; // well below the first backoff of a probe
 
 } // namespace
 
--- a/src/relay/impl/endpoint_prober.hpp
+++ b/src/relay/impl/endpoint_prober.hpp
@@ -9,8 +9,8 @@
 
 namespace sedgechute {
 
-/// \brief Tries, on a thread of its own, to connect to endpoints that could not be reached, so that
-/// no request has to, and asks those that may have started again.
+/// \brief Probes unreachable endpoints on a thread of its own, so that no request waits for a
+/// connect timeout, and queries the start time of endpoints that may have restarted.
 class endpoint_prober {
  public:
   endpoint_prober(endpoint_directory& endpoints, const wire_dialect& dialect,
--- a/src/relay/impl/event_splitter.cpp
+++ b/src/relay/impl/event_splitter.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// \returns the length of the first whole event with its empty line; 0 when there is none
+/// \returns the length of the first complete event including its empty line; 0 if there is none
 std::size_t event_length(std::string_view text) noexcept {
   std::size_t at = 0;
   while (at < text.size()) {
--- a/src/relay/impl/event_splitter.hpp
+++ b/src/relay/impl/event_splitter.hpp
@@ -7,22 +7,22 @@
 
 namespace sedgechute {
 
-/// \brief Cuts a stream of server-sent events into whole events, so that an event that its endpoint
-/// broke off never reaches the caller and another endpoint can go on behind the last whole one.
+/// \brief Splits a stream of server-sent events into complete events, so that the caller never gets
+/// a partial event and another endpoint can resume after the last complete one.
 class event_splitter {
  public:
   void feed(std::string_view bytes) { pending_ += bytes; }
 
-  /// \returns the whole events that have come and were not taken yet; may be empty
+  /// \returns the complete events received since the last call; may be empty
   [[nodiscard]] std::string take_whole();
 
-  /// \returns whether bytes of an unfinished event are left.
+  /// \returns whether bytes of a partial event are buffered
   [[nodiscard]] bool inside_event() const noexcept { return !pending_.empty(); }
-  /// \returns the id of the last event taken that had one
+  /// \returns the id of the last returned event that had one
   [[nodiscard]] std::optional<std::uint64_t> last_id() const noexcept { return last_id_; }
-  /// \returns events taken
+  /// \returns the number of events returned so far
   [[nodiscard]] std::uint64_t events() const noexcept { return events_; }
-  /// \brief Drops what is left of an unfinished event.
+  /// \brief Discards the bytes of a partial event.
   void drop_unfinished() noexcept { pending_.clear(); }
 
  private:
--- a/src/relay/impl/fleet_config.cpp
+++ b/src/relay/impl/fleet_config.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// `Example.net:8080` and `example.net` name the same host.
+/// \returns the host in lower case without its port: `Example.net:8080` gives `example.net`
 std::string host_key(std::string_view host) {
   std::string key{host.substr(0, host.find(':'))};
   std::transform(key.begin(), key.end(), key.begin(), [](char c) {
--- a/src/relay/impl/fleet_config.hpp
+++ b/src/relay/impl/fleet_config.hpp
@@ -14,11 +14,11 @@
 
 namespace sedgechute {
 
-/// \brief What may be repeated on a route.
+/// \brief Whether the requests of a route may be repeated.
 enum class request_kind {
   safe,   ///< may run more than once
   unsafe, ///< may run once at most
-  stream, ///< an answer in events; may run once at most, unless it may be resumed
+  stream, ///< answered by a stream of events; may run once at most unless the route is resumable
 };
 
 template <>
@@ -38,32 +38,32 @@
   std::string host;
   std::string prefix; ///< begins and ends with a slash
   request_kind kind{request_kind::unsafe};
-  time_ms timeout;        ///< longest that a request may be kept
-  time_ms latency_target; ///< to the answer, or to a stream's first event
-  time_ms longest_pause;  ///< between the events of a stream
-  int priority{0};        ///< 0 comes first
+  time_ms timeout;        ///< of a request
+  time_ms latency_target; ///< until the answer, or until the first event of a stream
+  time_ms longest_pause;  ///< between two events of a stream
+  int priority{0};        ///< 0 is the highest
   int most_attempts{1};   ///< endpoints that one request may be sent to
   bool open_to_all{false};
   bool resumable{false};
   std::vector<weighted_service> services;
 };
 
-/// \brief What the endpoints of a service have in common.
+/// \brief Properties that all endpoints of a service share.
 struct service_traits {
   std::string name;
-  std::uint64_t most_connections{}; ///< each endpoint takes so many, from all hosts together
+  std::uint64_t most_connections{}; ///< per endpoint, from all hosts together
   std::uint64_t batch_slots{};      ///< 0 for a plain service
   std::uint64_t memory_tokens{};
-  std::uint64_t tokens_per_event{1}; ///< most tokens that one event may hold
+  std::uint64_t tokens_per_event{1}; ///< maximum number of tokens in one event
 };
 
 struct team_terms {
   team_id name;
-  std::optional<int> priority; ///< goes before the route's
+  std::optional<int> priority; ///< overrides the route's
   std::optional<std::uint64_t> prepaid;
 };
 
-/// \brief Bounds on what a caller may send.
+/// \brief Size and time limits of a caller's requests.
 struct caller_limits {
   std::size_t header_bytes{16384};
   std::size_t body_bytes{std::size_t{4} << 20U};
@@ -71,7 +71,7 @@
   time_ms idle_timeout{15000};
 };
 
-/// \brief One version of the fleet's configuration. Never changed once it is shared.
+/// \brief One version of the fleet's configuration. Immutable once it is shared.
 class fleet_config {
  public:
   std::uint64_t version{};
@@ -84,8 +84,9 @@
 
   /// \returns the route of `host` with the longest prefix of `path`, or null
   [[nodiscard]] const route* find_route(std::string_view host, std::string_view path) const;
-  /// \returns null for a key that nobody holds
+  /// \returns the team that owns `key`; null if none does
   [[nodiscard]] const team_terms* find_team(const std::string& key) const;
+  /// \returns null when the configuration does not describe the service
   [[nodiscard]] const service_traits* find_service(const std::string& name) const;
   [[nodiscard]] const std::map<std::string, team_terms>& teams() const noexcept { return teams_; }
   [[nodiscard]] std::size_t route_count() const noexcept { return route_count_; }
--- a/src/relay/impl/fleet_source.hpp
+++ b/src/relay/impl/fleet_source.hpp
@@ -11,28 +11,29 @@
 
 namespace sedgechute {
 
-/// \brief What has become of one entry of the list of endpoints.
+/// \brief A change of one entry of the endpoint list.
 struct endpoint_change {
   endpoint_id id;
-  std::optional<endpoint_entry> entry; ///< nothing: it is gone, or cannot be read
-  std::string fault{};                 ///< why it cannot be read; empty when it is gone
+  std::optional<endpoint_entry> entry; ///< nothing: it was removed or cannot be parsed
+  std::string fault{};                 ///< why it cannot be parsed; empty when it was removed
 };
 
-/// \brief Changes of the list of endpoints, in their order.
+/// \brief Changes of the endpoint list in log order.
 struct endpoint_changes {
   std::vector<endpoint_change> changes;
-  std::uint64_t end{};      ///< where to read on
-  bool history_lost{false}; ///< read all entries anew
+  std::uint64_t end{};      ///< position to read from next
+  bool history_lost{false}; ///< changes are missing: all entries must be read again
 };
 
 struct config_changes {
   std::vector<config_ptr> versions;
-  std::vector<entry_fault> faults; ///< those that cannot be read
+  std::vector<entry_fault> faults; ///< versions that cannot be parsed
   std::uint64_t end{};
   bool history_lost{false};
 };
 
-/// \brief Where configurations and endpoints are published. Calls throw `log_unavailable`.
+/// \brief Port to the store that publishes configurations and endpoints. Calls throw
+/// `log_unavailable`.
 class fleet_source {
  public:
   fleet_source() = default;
@@ -41,9 +42,9 @@
   virtual ~fleet_source() = default;
 
   [[nodiscard]] virtual config_changes newest_config() = 0;
-  /// \brief Returns as soon as there is a change, or after `wait`.
+  /// \brief Waits until there is a change, at most for `wait`.
   [[nodiscard]] virtual config_changes configs_from(std::uint64_t from, time_ms wait) = 0;
-  /// \returns every endpoint that is registered
+  /// \returns every registered endpoint
   [[nodiscard]] virtual endpoint_changes newest_endpoints() = 0;
   [[nodiscard]] virtual endpoint_changes endpoints_from(std::uint64_t from) = 0;
 };
--- a/src/relay/impl/front_door.cpp
+++ b/src/relay/impl/front_door.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t read_block = 16 * 1024;
 
-// Counts a request, whichever way it ends.
+// Counts a request until its destruction.
 class request_mark {
  public:
   explicit request_mark(std::atomic<std::size_t>& of) : count_{of} { ++count_; }
@@ -26,7 +26,7 @@
 
 } // namespace
 
-/// A connection with a request, on its way through a thread.
+/// A connection with a request that a thread is to serve.
 struct front_door::job {
   job(front_door& of, std::unique_ptr<open_caller> from, preparing_requests::mark counted,
       bool let_in)
@@ -41,10 +41,10 @@
 };
 
 enum class front_door::screen_result {
-  serve,   ///< it is taken
-  arrives, ///< more of it must come
-  refused, ///< it has been answered
-  ends,    ///< its connection is to be closed
+  serve,   ///< the request is accepted
+  arrives, ///< the request is incomplete
+  refused, ///< the refusal has been written
+  ends,    ///< the connection must be closed
 };
 
 front_door::front_door(request_relay& relay, const wire_dialect& dialect,
@@ -131,7 +131,7 @@
   return written && !decision.ends_connection ? screen_result::refused : screen_result::ends;
 }
 
-// A line for each would cost more than the refusals do.
+// At most one log line per interval: one per refusal would cost more than the refusals do.
 void front_door::note_refused() {
   constexpr time_ms interval{1000};
   ++refused_;
@@ -182,8 +182,8 @@
   }
 }
 
-// At the cut of a stop a request that is still arriving is refused: its caller would learn nothing
-// from a process that is gone.
+// At the cut of a stop a request that is still arriving is refused, so that its caller gets an
+// answer before the process exits.
 after_answer front_door::answer_one(open_caller& caller, preparing_requests::mark mark,
                                     bool screened) {
   const caller_limits limits = limits_();
--- a/src/relay/impl/front_door.hpp
+++ b/src/relay/impl/front_door.hpp
@@ -16,11 +16,11 @@
 struct front_door_options {
   time_ms body_timeout{10000}; ///< for a whole request body
   caller_poll_options connections{};
-  elastic_pool_options threads{}; ///< each serves a request, and uses some 30 KB of its stack
+  elastic_pool_options threads{}; ///< each serves one request and uses some 30 KB of its stack
 };
 
-/// \brief Reads callers' requests for a relay: one thread waits on all connections, and each
-/// request that is taken has a thread. A host under pressure refuses by the header alone.
+/// \brief HTTP server in front of a relay. One thread polls all idle connections, and each accepted
+/// request gets a thread from a pool. Under load, requests are refused by their header alone.
 class front_door {
  public:
   front_door(request_relay& relay, const wire_dialect& dialect,
@@ -32,9 +32,9 @@
 
   void start();
   [[nodiscard]] std::size_t connections() const noexcept { return poll_.connections(); }
-  /// \returns requests that arrive or are served.
+  /// \returns the number of requests that are being read or served
   [[nodiscard]] std::size_t unanswered() const noexcept { return unanswered_; }
-  /// \returns the same, and those whose answer is written and whose connection is being closed.
+  /// \returns the same, plus the connections that are being closed after their last answer
   [[nodiscard]] std::size_t busy() const noexcept { return busy_ + poll_.closing(); }
 
  private:
@@ -42,12 +42,12 @@
   enum class screen_result;
 
   void take(std::unique_ptr<open_caller> caller);
-  /// \brief Decides by the header about a request that has come, as far as it has come.
+  /// \brief Decides by its header whether a request is served, without waiting for more bytes.
   [[nodiscard]] screen_result screen(open_caller& caller, preparing_requests::mark& mark);
   void note_refused();
   void run(const std::shared_ptr<job>& work);
   void refuse(job& work);
-  /// \brief Serves what has come on a connection, and gives the connection back to the poll.
+  /// \brief Serves the requests that have arrived on a connection and returns it to the poll.
   void serve(job& work);
   [[nodiscard]] after_answer answer_one(open_caller& caller, preparing_requests::mark mark,
                                         bool screened);
@@ -63,7 +63,7 @@
   std::atomic<std::size_t> unanswered_{0};
   std::atomic<std::size_t> busy_{0};
   elastic_pool threads_;
-  std::uint64_t refused_{0}; ///< since the last line of the log about it
+  std::uint64_t refused_{0}; ///< since the last log line about refusals
   time_ms refused_told_;
   caller_poll poll_;
 };
--- a/src/relay/impl/host_list.hpp
+++ b/src/relay/impl/host_list.hpp
@@ -7,10 +7,10 @@
 
 namespace sedgechute {
 
-/// \brief An entry host as it tells the others of itself.
+/// \brief The announcement of an entry host.
 struct host_entry {
   std::string name;
-  std::string address; ///< `IP:port` for reports between hosts; an IP number, never a name
+  std::string address; ///< `IP:port` for datagrams between hosts; a numeric IP, never a name
   std::string data_centre;
 
   bool operator==(const host_entry&) const = default;
@@ -18,10 +18,10 @@
 
 struct host_listing {
   std::vector<host_entry> hosts;
-  std::vector<entry_fault> faults; ///< entries that name no host
+  std::vector<entry_fault> faults; ///< entries that cannot be parsed
 };
 
-/// \brief Where entry hosts find each other. Calls throw `log_unavailable`.
+/// \brief Port to the list of entry hosts. Calls throw `log_unavailable`.
 class host_list {
  public:
   host_list() = default;
@@ -29,7 +29,7 @@
   host_list& operator=(const host_list&) = delete;
   virtual ~host_list() = default;
 
-  /// \returns every host that was announced; some may be gone
+  /// \returns every announced host; some may have stopped
   [[nodiscard]] virtual host_listing hosts() = 0;
   virtual void announce(const host_entry& self) = 0;
 };
--- a/src/relay/impl/host_pressure.hpp
+++ b/src/relay/impl/host_pressure.hpp
@@ -7,27 +7,27 @@
 
 namespace sedgechute {
 
-/// \brief What a host knows of its own load, for decisions about new requests. What is not set says
-/// that there is none.
+/// \brief The host's view of its own load, for decisions about new requests. An unset function
+/// means no load.
 struct host_pressure {
-  std::function<bool()> sheds; ///< whether one new request is to be refused
-  /// For how long the balancer has been told to deal callers to other hosts.
+  std::function<bool()> sheds; ///< returns whether the next new request is to be refused
+  /// Returns how long the balancer has been told to send callers to other hosts; nothing if it has
+  /// not.
   std::function<std::optional<time_ms>()> busy_for;
-  std::function<void(bool turned_away)> note_request; ///< a request has come
+  std::function<void(bool turned_away)> note_request; ///< called for each request that arrives
 };
 
 struct retry_hint_options {
-  time_ms soon{50};             ///< the host may have room again
-  time_ms dealt_after{2200};    ///< a busy host gets no new callers from then on
-  time_ms spread{400};          ///< so that those who were refused do not come back at once
-  std::int64_t usable_parts{3}; ///< callers wait for one of so many parts of their time
+  time_ms soon{50};             ///< for a host that is not busy: it may have capacity again by then
+  time_ms dealt_after{2200};    ///< after which the balancer sends a busy host no new callers
+  time_ms spread{400};          ///< jitter, so that refused callers do not all return at once
+  std::int64_t usable_parts{3}; ///< at most this fraction (one third) of the time left is waited
 };
 
-/// \brief When a caller that a host under pressure refuses had better come back: once the balancer
-/// deals it to another host, or as late as it can use.
-/// \param left      until the caller gives up
-/// \param busy_for  how long the host has been busy, if it is
-/// \param drawn     from 0 to below 1, for the spread
+/// \brief Computes the `Retry-After` of a refusal under load: until the balancer sends the caller
+/// to another host, or less when the caller's remaining time does not allow that. \param left time
+/// until the caller gives up \param busy_for  how long the host has been busy, if it is \param
+/// drawn     uniform random number in [0, 1) for the jitter
 [[nodiscard]] time_ms retry_after_pressure(time_ms left, std::optional<time_ms> busy_for,
                                            double drawn,
                                            const retry_hint_options& options) noexcept;
--- a/src/relay/impl/incoming_request.hpp
+++ b/src/relay/impl/incoming_request.hpp
@@ -9,16 +9,16 @@
 
 namespace sedgechute {
 
-/// \brief A request as it came from its caller, whole.
+/// \brief A complete request from a caller.
 struct incoming_request {
   request_head head;
   std::string body;
-  time_ms received; ///< when its first byte was read
+  time_ms received; ///< when the first byte was read
   connection& caller;
-  std::size_t on_connection{1};         ///< 1 for the first request of its connection
-  time_ms idle{};                       ///< how long the connection had waited for it
-  bool screened{false};                 ///< the host's pressure has been considered
-  preparing_requests::mark preparing{}; ///< ends with the first send
+  std::size_t on_connection{1};         ///< number on its connection, from 1
+  time_ms idle{};                       ///< time that the connection was idle before it
+  bool screened{false};                 ///< the host's load has already been checked for it
+  preparing_requests::mark preparing{}; ///< counts it until the first send
 };
 
 } // namespace sedgechute
--- a/src/relay/impl/load_board.cpp
+++ b/src/relay/impl/load_board.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t entry_bytes = 8 + 4 + 4;
 constexpr std::size_t sighting_bytes = 8 + 8;
 
-// Far above what a host can have at one endpoint. A report beyond would keep all hosts away from
-// it.
+// Far above what a host can have at one endpoint. A corrupt report with larger values would make
+// all hosts avoid the endpoint.
 constexpr std::uint32_t most_open = 1U << 20U;
 constexpr std::uint32_t most_unread_tokens = 1U << 30U;
 
--- a/src/relay/impl/load_board.hpp
+++ b/src/relay/impl/load_board.hpp
@@ -11,15 +11,15 @@
 
 namespace sedgechute {
 
-/// \brief What one host has at one endpoint.
+/// \brief The requests of one host in flight at one endpoint.
 struct endpoint_use {
-  std::uint32_t open{};          ///< requests
-  std::uint32_t unread_tokens{}; ///< of prompts of which no event has come
+  std::uint32_t open{};          ///< number of requests
+  std::uint32_t unread_tokens{}; ///< prompt tokens of those that have had no event yet
 
   bool operator==(const endpoint_use&) const = default;
 };
 
-/// \brief Endpoints are named by the hash of their id: a datagram holds more of them.
+/// \brief Hash of an endpoint incarnation; reports carry it instead of the longer id.
 using endpoint_hash = std::uint64_t;
 
 struct use_entry {
@@ -27,37 +27,37 @@
   endpoint_use use;
 };
 
-/// \brief A prompt's start was sent to an endpoint, which keeps it for the next prompt that begins
-/// alike.
+/// \brief A prompt prefix that was sent to an endpoint, which caches it for later prompts with the
+/// same prefix.
 struct start_sighting {
-  std::uint64_t start{}; ///< hash of the prompt's first parts
+  std::uint64_t start{}; ///< hash of the prefix
   endpoint_hash endpoint{};
 };
 
-/// \brief What one host tells others of its use of endpoints: all of it, or what has changed.
-/// Values replace earlier ones, so a lost datagram is made good by the next.
+/// \brief A host's report of its use of endpoints, in full or only the changes. Values replace
+/// earlier ones, so the next full report corrects a lost datagram.
 struct use_report {
-  std::uint64_t sender{}; ///< drawn anew by each life of a host
-  std::uint32_t number{}; ///< grows; an older report that comes late is dropped
-  bool whole{false};      ///< endpoints that are not named are not used
+  std::uint64_t sender{}; ///< random number, drawn at each start of a host
+  std::uint32_t number{}; ///< increases with each report; older ones that arrive late are dropped
+  bool whole{false};      ///< full report: endpoints without an entry are not in use
   std::vector<use_entry> entries;
   std::vector<start_sighting> sightings;
 };
 
 [[nodiscard]] std::string encode_use_report(const use_report& report);
-/// \returns nothing when the bytes are no report
+/// \returns nothing when the bytes are not a valid report
 [[nodiscard]] std::optional<use_report> decode_use_report(std::string_view bytes);
 
-/// \brief The use of endpoints by all other hosts, from their reports. Pure; not thread-safe.
+/// \brief Sums the use of endpoints by all other hosts from their reports. Not thread-safe.
 class load_board {
  public:
-  /// \param forget_after  reports of a host that was silent for so long no longer count
+  /// \param forget_after  time without a report after which a host's use is dropped
   explicit load_board(time_ms forget_after) : forget_after_{forget_after} {}
 
   void take(const use_report& report, time_ms now);
-  /// \returns what others have at an endpoint
+  /// \returns the use of an endpoint by all other hosts together
   [[nodiscard]] endpoint_use at(endpoint_hash endpoint) const;
-  /// \brief Drops hosts that have fallen silent.
+  /// \brief Drops the use of hosts that have sent no report for `forget_after`.
   void forget_silent(time_ms now);
   [[nodiscard]] std::size_t hosts() const noexcept { return hosts_.size(); }
 
--- a/src/relay/impl/load_exchange.cpp
+++ b/src/relay/impl/load_exchange.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t most_entries = 45; // of each sort in one datagram, to fit an Ethernet frame
+constexpr std::size_t most_entries = 45; // of each kind per datagram, which fits an Ethernet frame
 
 template <typename Row>
 std::vector<Row> part_of(const std::vector<Row>& rows, std::size_t from) {
@@ -18,8 +18,8 @@
 
 } // namespace
 
-// What a host sends grows with the hosts that it tells, and what it receives does too. Without a
-// bound the reports of a large data centre take what its small hosts need for requests.
+// The reports that a host sends and receives grow with the number of recipients. Without a bound
+// they would take processor time that the small hosts of a large data centre need for requests.
 time_ms gather_span(const load_exchange_options& options, std::size_t told) noexcept {
   constexpr std::size_t second_ms = 1000;
   const std::size_t least = second_ms * told / options.most_datagrams_a_second;
@@ -74,7 +74,7 @@
   }
 }
 
-// Only a report that fits one datagram can say that it is whole.
+// Only a report that fits into one datagram can be marked as full.
 void load_exchange::send_all(const std::vector<use_entry>& entries,
                              const std::vector<start_sighting>& sightings, bool whole) {
   const std::size_t all = std::max(entries.size(), sightings.size());
--- a/src/relay/impl/load_exchange.hpp
+++ b/src/relay/impl/load_exchange.hpp
@@ -10,23 +10,23 @@
 namespace sedgechute {
 
 struct load_exchange_options {
-  /// Changes are gathered for so long. A report keeps other hosts' prompts away from an engine only
-  /// while it still reads this one.
+  /// Minimum time between reports. It is short because a report helps other hosts to avoid an
+  /// engine only while the engine still prefills the reported prompt.
   time_ms gather{20};
-  /// To all hosts together; in a large data centre reports become rarer instead.
+  /// To all hosts together; with many hosts the time between reports grows instead.
   std::size_t most_datagrams_a_second{400};
-  /// Everything is told anew after so long: a datagram may have been lost.
+  /// Time between full reports, which correct lost datagrams.
   time_ms whole_interval{1000};
-  /// With more hosts than this only those of the own data centre are told, so that messages do not
-  /// grow with the square of the fleet.
+  /// From this number of other hosts on, only those of the own data centre get reports, so that the
+  /// number of messages does not grow with the square of the fleet.
   std::size_t most_told{16};
 };
 
-/// \brief How long changes are gathered when so many hosts are told.
+/// \returns the time between reports to `told` hosts
 [[nodiscard]] time_ms gather_span(const load_exchange_options& options, std::size_t told) noexcept;
 
-/// \brief Tells the other hosts what this one has at endpoints, and takes what they tell.
-/// Everything told is a hint: a wrong or missing report only makes a choice worse.
+/// \brief Sends this host's use of endpoints to the other hosts and receives theirs. Reports are
+/// hints: a wrong or missing one only makes a placement worse.
 class load_exchange {
  public:
   /// \param channel  must not have been started
--- a/src/relay/impl/load_shedding.cpp
+++ b/src/relay/impl/load_shedding.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr double ms_a_second = 1000;
-constexpr double most_excess = 2; // times the target, so that one bad moment does not refuse all
+constexpr double most_excess = 2; // times the target, so that one long delay does not refuse all
 
 } // namespace
 
-// The part follows the lateness instead of being a function of it: it settles where the host is
-// just not late, whatever its requests cost.
+// Integral control: the refused fraction is adjusted by the delay instead of being a function of
+// it, so it settles where the delay meets the target, whatever the requests cost.
 void load_shedding::note_wake_up(time_ms lateness, time_ms since) noexcept {
   const time_ms counted = std::clamp(lateness, time_ms{}, options_.most_lateness);
   const time_ms elapsed = std::clamp(since, time_ms{}, options_.longest_span);
@@ -36,7 +36,7 @@
 }
 
 void load_shedding::judge() noexcept {
-  constexpr double few = 4; // requests of late, of which one says nothing
+  constexpr double few = 4; // minimum sample, so that one of very few requests does not decide
   const double part = std::max(refused_, turned_away_ / std::max(all_, few));
   busy_ = part >= options_.busy_from || (busy_ && part > options_.busy_until);
 }
--- a/src/relay/impl/load_shedding.hpp
+++ b/src/relay/impl/load_shedding.hpp
@@ -5,43 +5,44 @@
 namespace sedgechute {
 
 struct shedding_options {
-  /// Mean time by which threads wake up late, above which this host has more to do than processor
-  /// time.
+  /// Mean wake-up delay of a thread above which the host counts as overloaded.
   double target_ms{3};
   /// Time constant of that mean.
   time_ms smoothing{300};
-  /// One wake-up counts as no later than this: a host that was frozen has work to spare again.
+  /// Upper bound of one delay: a host that was frozen has processor time again afterwards.
   time_ms most_lateness{20};
-  time_ms longest_span{100}; ///< and stands for no longer a time
-  /// By how much the part that is refused grows in a second at twice the target, and shrinks in a
-  /// second without any lateness.
+  time_ms longest_span{100}; ///< upper bound of the time that one wake-up stands for
+  /// Increase of the refused fraction per second at twice the target, and decrease per second
+  /// without any delay.
   double rise{1.0};
   double fall{0.3};
-  double most_refused{0.9}; ///< some are always taken, so that all kinds and teams are served
-  /// The host is busy from this part on, until it falls to the second.
+  double most_refused{0.9}; ///< below 1, so that requests of all kinds and teams are served
+  /// Hysteresis of the busy state: refused fractions at which it begins and ends.
   double busy_from{0.2};
   double busy_until{0.02};
 };
 
-/// \brief How many new requests a host refuses because its processor is used up.
+/// \brief Computes which fraction of new requests a host refuses because its processor is
+/// overloaded.
 ///
-/// The balancer deals callers to hosts, not requests: one caller with many requests brings its host
-/// ten times the mean, also when it tries again. Only a balancer that sees the host busy deals it
-/// to another one; until then what is taken beyond the processor's part makes all others late.
-/// Pure; not thread-safe.
+/// The balancer distributes callers, not requests: one caller with many requests brings its host
+/// ten times the mean load, also when it retries. The balancer sends the caller elsewhere only when
+/// it sees the host as busy; until then, requests beyond the processor's capacity delay all others.
+/// Not thread-safe.
 class load_shedding {
  public:
   explicit load_shedding(const shedding_options& options) : options_{options} {}
 
-  /// \brief A thread that meant to sleep woke up later than it meant to.
-  /// \param since  the last such note
+  /// \brief Records a wake-up of a sleeping thread.
+  /// \param lateness  delay of the wake-up
+  /// \param since     time since the last call
   void note_wake_up(time_ms lateness, time_ms since) noexcept;
-  /// \brief Requests that came since the last such note, and how many of them were turned away
+  /// \brief Records the number of requests since the last call, and how many of them were refused
   /// because too many were being prepared.
   void note_requests(std::size_t turned_away, std::size_t all, time_ms since) noexcept;
-  /// \returns the part of new requests to be refused
+  /// \returns the fraction of new requests to be refused
   [[nodiscard]] double refused_part() const noexcept { return refused_; }
-  /// \returns whether callers had better be dealt to other hosts
+  /// \returns whether the balancer should send callers to other hosts
   [[nodiscard]] bool busy() const noexcept { return busy_; }
 
  private:
@@ -50,7 +51,7 @@
   shedding_options options_;
   double lateness_ms_{0};
   double refused_{0};
-  double turned_away_{0}; ///< of late, fading
+  double turned_away_{0}; ///< decaying counts of recent requests
   double all_{0};
   bool busy_{false};
 };
--- a/src/relay/impl/message_head.cpp
+++ b/src/relay/impl/message_head.cpp
@@ -25,7 +25,7 @@
   return text.substr(begin, text.find_last_not_of(" \t") - begin + 1);
 }
 
-/// Cuts the next line off, with or without CR before its LF.
+/// Removes the next line from `rest` and returns it without its LF or CRLF.
 std::string_view take_line(std::string_view& rest) noexcept {
   const std::size_t end = std::min(rest.find('\n'), rest.size());
   std::string_view line = rest.substr(0, end);
@@ -35,7 +35,7 @@
   return line;
 }
 
-/// \returns false at a line that is no field
+/// \returns false when a line is not a header field
 bool parse_fields(std::string_view rest, header_fields& into) {
   while (!rest.empty()) {
     const std::string_view line = take_line(rest);
@@ -124,7 +124,7 @@
   const std::size_t last = line.rfind(' ');
   head.method = line.substr(0, first);
   head.target = line.substr(first + 1, last - first - 1);
-  (void)parse_fields(text, head.fields); // the caller has checked each line
+  (void)parse_fields(text, head.fields); // `check_request_header` has checked each line
   return head;
 }
 
--- a/src/relay/impl/peer_channel.cpp
+++ b/src/relay/impl/peer_channel.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr std::size_t receive_bytes = 2048;
-constexpr long receive_look_us = 200'000; // how often the receiver looks whether it shall stop
+constexpr long receive_look_us = 200'000; // between two checks whether the receiver must stop
 constexpr time_ms after_receive_fault{60};
 
-// Before each message: its kind, and the sender's time of day in milliseconds.
+// Header of each datagram: the type, and the sender's wall clock in milliseconds.
 constexpr std::size_t head_bytes = 1 + sizeof(std::uint64_t);
 constexpr std::endian order = std::endian::little;
 
@@ -31,7 +31,7 @@
   return time_ms{static_cast<std::int64_t>(take_number<order, std::uint64_t>(head))};
 }
 
-// Later than any time of day, and far from what would overflow in a difference.
+// Later than any real wall clock time, and small enough that differences do not overflow.
 constexpr time_ms latest_wall{std::int64_t{1} << 53};
 
 bool is_wall(time_ms wall) noexcept {
@@ -122,8 +122,8 @@
       const int got = socket_.receiveFrom(bytes.data(), static_cast<int>(bytes.size()), from);
       take({bytes.data(), static_cast<std::size_t>(std::max(got, 0))}, from);
     } catch (const Poco::TimeoutException&) {
-      continue;                               // nothing came; look whether to stop
-    } catch (const std::exception& failure) { // also of a handler: the next message is another
+      continue;                               // no message; check whether to stop
+    } catch (const std::exception& failure) { // also from a handler: go on with the next message
       log_.write(severity::warning, "peer_messages_not_received", {},
                  {{log_field::reason, std::string_view{failure.what()}}});
       if (!pauses_.pause(after_receive_fault))
--- a/src/relay/impl/peer_channel.hpp
+++ b/src/relay/impl/peer_channel.hpp
@@ -20,7 +20,7 @@
 
 namespace sedgechute {
 
-/// \brief What a datagram between entry hosts holds: its first byte.
+/// \brief Type of a datagram between entry hosts; its first byte.
 enum class peer_message : std::uint8_t {
   load_report = 1,
   token_loan = 2,
@@ -32,7 +32,7 @@
       {{peer_message::load_report, "load_report"}, {peer_message::token_loan, "token_loan"}});
 };
 
-/// \brief Another entry host and where it takes datagrams.
+/// \brief Another entry host and the address at which it receives datagrams.
 struct peer {
   std::string host;
   std::string data_centre;
@@ -40,44 +40,45 @@
 };
 
 struct peer_channel_options {
-  /// The list of hosts is read anew after so long; sooner until it could be read at all.
+  /// Time between reads of the host list, and until the first successful read.
   time_ms hosts_interval{5000};
   time_ms first_hosts_interval{500};
 };
 
-/// \brief Datagrams between the entry hosts, and the list of these hosts. A datagram may be lost,
-/// or come twice or late; its bytes may be anything.
+/// \brief Sends and receives datagrams between entry hosts and keeps the list of these hosts. A
+/// datagram may be lost, duplicated or late, and its bytes are not trusted.
 class peer_channel {
  public:
-  /// \brief Takes the bytes of a message; false when they mean nothing.
+  /// \brief Handles the bytes of a message; returns false when they are invalid.
   using handler = std::function<bool(std::string_view bytes)>;
 
-  /// \param clocks  told what other hosts' clocks say
+  /// \param clocks  receives the wall clock times in messages of other hosts
   peer_channel(host_entry self, host_list& hosts, fleet_clock& clocks,
                const peer_channel_options& options, entry_faults& faults, structured_log& log);
   peer_channel(const peer_channel&) = delete;
   peer_channel& operator=(const peer_channel&) = delete;
   ~peer_channel();
 
-  /// \brief Before `start`: who takes messages of a kind, on the channel's thread.
+  /// \brief Sets the handler for messages of a kind. Must be called before `start`; the handler
+  /// runs on the channel's thread.
   void on(peer_message kind, handler take);
-  /// \brief Before `start`: who is told, on the channel's thread, that the list of hosts is
-  /// another.
+  /// \brief Sets the listener for changes of the host list. Must be called before `start`; the
+  /// listener runs on a thread of the channel.
   void on_hosts(std::function<void()> told) { hosts_changed_ = std::move(told); }
   void start();
   void stop() noexcept;
 
-  /// \brief Sends if it can; what cannot be sent is dropped.
+  /// \brief Sends a message; drops it when that fails.
   void send(const peer& to, peer_message kind, std::string_view bytes);
   /// \returns false when no host of that name is known
   bool send(const std::string& host, peer_message kind, std::string_view bytes);
-  /// \returns all other hosts, some of which may be gone
+  /// \returns all other hosts; some may have stopped
   [[nodiscard]] std::vector<peer> peers() const;
-  /// \returns the other hosts of the own data centre
+  /// \returns the names of the other hosts in the own data centre
   [[nodiscard]] std::vector<std::string> near_hosts() const;
-  /// \returns whether the list of hosts has been read.
+  /// \returns whether the host list has been read
   [[nodiscard]] bool hosts_known() const noexcept { return hosts_known_; }
-  /// \returns whether a host is of the own data centre
+  /// \returns whether another host is in the own data centre
   [[nodiscard]] bool near(const std::string& host) const;
   [[nodiscard]] const host_entry& self() const noexcept { return self_; }
 
@@ -100,7 +101,7 @@
   mutable ordered_mutex mutex_{lock_rank::membership};
   stoppable_pause pauses_;
   std::vector<peer> peers_;
-  std::set<std::string> unusable_hosts_; ///< entries that named none at the last look
+  std::set<std::string> unusable_hosts_; ///< keys of invalid entries at the last read
   bool list_reachable_{true};
   std::atomic<bool> hosts_known_{false};
   std::function<void()> hosts_changed_;
--- a/src/relay/impl/planned_stop.cpp
+++ b/src/relay/impl/planned_stop.cpp
@@ -22,8 +22,8 @@
   return begun() && since() >= bounds_.notice;
 }
 
-// By the clock, too: on a machine that stood still across the cut a request's thread may be the
-// first to run again, and nobody has declared the cut yet.
+// Also checks the clock: after a pause of the machine across the cut, a request's thread may run
+// before the thread that calls `cut`.
 bool planned_stop::taking() const noexcept {
   return taking_ && since() < cut_after(bounds_);
 }
--- a/src/relay/impl/planned_stop.hpp
+++ b/src/relay/impl/planned_stop.hpp
@@ -6,29 +6,31 @@
 
 namespace sedgechute {
 
-/// \brief How far the planned stop of this host has come, for all that serves requests.
+/// \brief Progress of the planned stop of this host, for all components that serve requests.
 /// Thread-safe.
 class planned_stop {
  public:
   planned_stop(const stop_bounds& bounds, const clock& time);
 
   void begin() noexcept;
-  /// \brief Ends the waits of connections for their next request.
+  /// \brief Closes connections that wait for their next request.
   void close_idle() noexcept { idle_.open(); }
-  /// \brief Nothing is taken any more.
+  /// \brief Stops accepting requests.
   void end_taking() noexcept { taking_ = false; }
-  /// \brief Ends the waits of requests that run.
+  /// \brief Interrupts the waits of requests in flight and stops accepting requests.
   void cut() noexcept;
 
   [[nodiscard]] bool begun() const noexcept { return began_ != not_begun; }
-  /// \returns whether the cut is still to come, and `end_taking` too
+  /// \returns whether requests are accepted: neither `end_taking` nor the cut has happened
   [[nodiscard]] bool taking() const noexcept;
-  /// \brief Since the signal.
+  /// \returns the time since `begin`; 0 before
   [[nodiscard]] time_ms since() const noexcept;
+  /// \returns whether a new request of the forecast duration may be accepted
   [[nodiscard]] bool may_take(const run_forecast& run) const noexcept;
+  /// \returns whether the process may exit with `open` requests in flight
   [[nodiscard]] bool may_end(std::size_t open) const noexcept;
   [[nodiscard]] bool notice_over() const noexcept;
-  /// \brief Descriptors that can be read from `close_idle` and from the cut on.
+  /// \brief Descriptors that become readable at `close_idle` and at the cut.
   [[nodiscard]] int idle_descriptor() const noexcept { return idle_.descriptor(); }
   [[nodiscard]] int cut_descriptor() const noexcept { return cut_.descriptor(); }
 
@@ -37,7 +39,7 @@
 
   stop_bounds bounds_;
   const clock& time_;
-  std::atomic<std::int64_t> began_{not_begun}; ///< ms of the clock
+  std::atomic<std::int64_t> began_{not_begun}; ///< time of `begin` in ms
   std::atomic<bool> taking_{true};
   latch_pipe idle_;
   latch_pipe cut_;
--- a/src/relay/impl/preparing_requests.cpp
+++ b/src/relay/impl/preparing_requests.cpp
@@ -5,8 +5,8 @@
 
 namespace sedgechute {
 
-// Teams below their even part of the limit are let in beyond it, up to twice the limit: the team
-// that fills the host does not keep the others out.
+// At the limit, teams below an equal share of it are still accepted, up to twice the limit, so that
+// a team that fills the host does not lock out the others.
 bool exceeds_share(const preparing_load& load, std::size_t most) noexcept {
   if (load.total < most)
     return false;
--- a/src/relay/impl/preparing_requests.hpp
+++ b/src/relay/impl/preparing_requests.hpp
@@ -10,28 +10,28 @@
 
 namespace sedgechute {
 
-/// \brief Requests that a host has taken and not yet sent to an endpoint.
+/// \brief Numbers of requests in preparation: accepted and not yet sent to an endpoint.
 struct preparing_load {
   std::size_t total{};
-  std::size_t of_team{}; ///< of these, of the team whose request is decided about
-  std::size_t teams{};   ///< that have some, this one included
+  std::size_t of_team{}; ///< requests of the team in question
+  std::size_t teams{};   ///< teams with requests, including the team in question
 };
 
-/// \brief Whether one more request of a team is to be refused.
+/// \brief Decides whether one more request of a team is to be refused.
 ///
-/// Load pattern: one team's callers, dealt to one host, bring many times what its processor
-/// carries within a second. Each request that is taken delays all that are being prepared.
-/// \param most  requests in preparation that the host's processor gets through in time
+/// Guards against bursts: within a second one team's callers at one host may send many times what
+/// its processor can handle, and each accepted request delays all others in preparation.
+/// \param most  number of requests in preparation that the host's processor can handle in time
 [[nodiscard]] bool exceeds_share(const preparing_load& load, std::size_t most) noexcept;
 
-/// \brief Requests in preparation of a processor's part.
-/// \param processor_share  of a core
+/// \returns the number of requests in preparation that a share of a processor can handle in time
+/// \param processor_share  number of cores; may be a fraction
 [[nodiscard]] std::size_t most_preparing(double processor_share) noexcept;
 
 /// \brief Counts requests in preparation, all and by team. Thread-safe.
 class preparing_requests {
  public:
-  /// \brief One request in preparation, until it is destroyed or `end` is called.
+  /// \brief Counts one request as in preparation until its destruction or `end`.
   class mark {
    public:
     mark() = default;
@@ -44,7 +44,7 @@
 
     void end() noexcept;
     [[nodiscard]] bool begun() const noexcept { return in_ != nullptr; }
-    /// \brief Its team has become known.
+    /// \brief Moves the request to the count of its team, once that is known.
     void belong_to(std::string_view team);
 
    private:
@@ -52,10 +52,10 @@
     std::string team_;
   };
 
-  /// \param team  empty where it is not known yet
+  /// \param team  empty when it is not known yet
   [[nodiscard]] mark begin(std::string_view team);
   [[nodiscard]] std::size_t total() const;
-  /// \returns the load as a request of `team` meets it
+  /// \returns the load that decides about a new request of `team`
   [[nodiscard]] preparing_load load(std::string_view team) const;
 
  private:
--- a/src/relay/impl/processor_watch.cpp
+++ b/src/relay/impl/processor_watch.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr time_ms look_interval{50}; // twenty wake-ups a second take 0.1 % of a core
+constexpr time_ms look_interval{50}; // twenty wake-ups a second use 0.1 % of a core
 
 } // namespace
 
@@ -65,12 +65,13 @@
   }
 }
 
-// Threads wake up late also when others use the machine. Refusing requests does not help then: a
-// host with few of them keeps all.
+// Threads also wake up late when other processes use the machine. Refusing requests does not help
+// then, so a host with few requests refuses none.
 void processor_watch::note(time_ms lateness, time_ms since) {
   const bool before = shedding_.busy();
   shedding_.note_wake_up(open_() < least_open_ ? time_ms{} : lateness, since);
-  const std::size_t turned_away = turned_away_.exchange(0); // not more of these than of all
+  const std::size_t turned_away =
+      turned_away_.exchange(0); // read first, so it is at most the total
   shedding_.note_requests(turned_away, requests_.exchange(0), since);
   if (shedding_.busy() == before)
     return;
--- a/src/relay/impl/processor_watch.hpp
+++ b/src/relay/impl/processor_watch.hpp
@@ -12,14 +12,14 @@
 
 namespace sedgechute {
 
-/// \brief Watches on a thread of its own how late it wakes up, and says what is to be refused for
-/// it. Thread-safe.
+/// \brief Measures processor overload by the wake-up delay of a thread of its own, and decides
+/// which requests to refuse because of it. Thread-safe.
 class processor_watch {
  public:
   using open_count = std::function<std::size_t()>;
 
-  /// \param open        requests that are being served
-  /// \param least_open  with fewer, a late wake-up says nothing of this host's own work
+  /// \param open        returns the number of requests that are being served
+  /// \param least_open  with fewer requests, delays are not attributed to this host's own work
   processor_watch(const shedding_options& options, open_count open, std::size_t least_open,
                   const clock& time, structured_log& log);
   processor_watch(const processor_watch&) = delete;
@@ -29,14 +29,14 @@
   void start();
   void stop() noexcept;
 
-  /// \returns whether one new request is to be refused
+  /// \returns whether the next new request is to be refused; random, by the refused fraction
   [[nodiscard]] bool sheds();
-  /// \returns whether callers had better be dealt to other hosts
+  /// \returns whether the balancer should send callers to other hosts
   [[nodiscard]] bool busy() const;
-  /// \returns for how long they had, if they have
+  /// \returns how long the host has been busy; nothing when it is not
   [[nodiscard]] std::optional<time_ms> busy_for() const;
-  /// \brief A request has come.
-  /// \param turned_away  because too many are being prepared
+  /// \brief Counts a request that arrived.
+  /// \param turned_away  it was refused because too many are being prepared
   void note_request(bool turned_away) noexcept;
 
  private:
@@ -52,7 +52,7 @@
   load_shedding shedding_;
   random_source random_;
   std::optional<time_ms> busy_since_;
-  std::atomic<std::size_t> requests_{0}; ///< since the last look
+  std::atomic<std::size_t> requests_{0}; ///< since the last wake-up
   std::atomic<std::size_t> turned_away_{0};
   bool stopping_{false};
   std::thread thread_;
--- a/src/relay/impl/prompt_starts.cpp
+++ b/src/relay/impl/prompt_starts.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr time_ms forget_interval{2000}; // the whole table is walked at most so often
+constexpr time_ms forget_interval{2000}; // between two scans of the whole table
 
 } // namespace
 
--- a/src/relay/impl/prompt_starts.hpp
+++ b/src/relay/impl/prompt_starts.hpp
@@ -9,27 +9,28 @@
 
 namespace sedgechute {
 
-/// \brief One start of a prompt that other prompts may share.
+/// \brief A prefix of a prompt that other prompts may share.
 struct prompt_start {
-  std::uint64_t hash{};   ///< of the model and the parts up to here
-  std::uint64_t tokens{}; ///< from the prompt's beginning up to here
+  std::uint64_t hash{};   ///< of the model and the parts of the prefix
+  std::uint64_t tokens{}; ///< length of the prefix
 };
 
-/// \returns the starts that other prompts may share, the longest last: all parts but the last
-/// belong to several
+/// \returns the prefixes that other prompts may share, the longest last. The last part of a prompt
+/// is taken as its own, so no prefix contains it.
 [[nodiscard]] std::vector<prompt_start> shared_starts(const generation_terms& generation);
 
-/// \brief Which endpoints have read which starts of prompts lately. Pure; not thread-safe.
+/// \brief Records which endpoints have recently read which prompt prefixes. Not thread-safe.
 class prompt_starts {
  public:
-  /// \param kept_for  an engine drops the parts used longest ago; a sighting counts for so long
+  /// \param kept_for  time after which an unused prefix counts as evicted: engines evict the least
+  ///   recently used parts
   explicit prompt_starts(time_ms kept_for) : kept_for_{kept_for} {}
 
   void note(const start_sighting& sighting, time_ms now);
-  /// \returns tokens of the longest of `starts` that the endpoint has read
+  /// \returns the length in tokens of the longest of `starts` that the endpoint has cached
   [[nodiscard]] std::uint64_t tokens_at(const std::vector<prompt_start>& starts,
                                         endpoint_hash endpoint, time_ms now) const;
-  /// \brief Forgets what has not been seen for long.
+  /// \brief Removes expired entries; at most once every two seconds.
   void forget_old(time_ms now);
   [[nodiscard]] std::size_t size() const noexcept { return seen_.size(); }
 
--- a/src/relay/impl/reach_watch.cpp
+++ b/src/relay/impl/reach_watch.cpp
@@ -23,14 +23,14 @@
     return;
   const bool was_cut = silent->second >= options_.silent_endpoints;
   silent_in_a_row_.erase(silent);
-  // The way is open again: what fell silent in the cut need not be probed one by one.
+  // The data centre is reachable again: its other endpoints need not be probed one by one.
   if (was_cut)
     std::erase_if(troubles_, [&](const auto& one) { return one.second.centre == centre; });
 }
 
-// A silent endpoint that is forgotten no longer speaks for its data centre either. Counted on,
-// three that fell silent and were replaced would leave a whole data centre unreachable, with no
-// trouble left of which a probe could find the way open again.
+// A removed silent endpoint must no longer count for its data centre. Otherwise three silent
+// endpoints that are replaced would leave the data centre marked unreachable, with no endpoint left
+// to be probed that could clear the mark.
 void reach_watch::forget(const endpoint_id& endpoint) {
   const auto at = troubles_.find(endpoint);
   if (at == troubles_.end())
--- a/src/relay/impl/reach_watch.hpp
+++ b/src/relay/impl/reach_watch.hpp
@@ -9,32 +9,33 @@
 namespace sedgechute {
 
 struct reach_options {
-  /// First wait before an unreachable endpoint is probed; doubles up to the second.
+  /// Backoff before the first probe of an unreachable endpoint; doubles up to `longest_probe`.
   time_ms first_probe{250};
   time_ms longest_probe{2000};
-  /// So many endpoints of a data centre in a row that answer nothing tell that the way there is
-  /// cut. A crashed engine refuses connections, so two that fall silent at once are rare.
+  /// Number of consecutive silent endpoints of a data centre after which the whole data centre
+  /// counts as unreachable. A crashed engine refuses connections instead of being silent, so two
+  /// silent ones at once are rare.
   int silent_endpoints{3};
-  /// Endpoints probed in one round; a cut data centre has a hundred.
+  /// Maximum number of endpoints per round of probes; an unreachable data centre has a hundred.
   std::size_t most_probes{3};
 };
 
-/// \brief Which endpoints and data centres can be reached from this host. Guards against requests
-/// that each wait out a connect timeout at an endpoint that is cut off: once that is known they go
-/// elsewhere, or are refused at once, and only probes try. Pure; not thread-safe.
+/// \brief Tracks which endpoints and data centres can be reached from this host. Without it each
+/// request would wait for a connect timeout at an unreachable endpoint; with it, requests go
+/// elsewhere or are refused at once, and only probes try to connect. Not thread-safe.
 class reach_watch {
  public:
   explicit reach_watch(const reach_options& options) : options_{options} {}
 
-  /// \param silent  no answer came at all, not even a refused connection
+  /// \param silent  there was no reply at all, not even a refused connection
   void note_unreachable(const endpoint_id& endpoint, const data_centre_id& centre, bool silent,
                         time_ms now);
   void note_reachable(const endpoint_id& endpoint, const data_centre_id& centre);
-  /// \brief The endpoint is gone, or has started again: what it did before tells nothing.
+  /// \brief Drops the state of an endpoint that was removed or has restarted.
   void forget(const endpoint_id& endpoint);
 
   [[nodiscard]] bool reachable(const endpoint_id& endpoint, const data_centre_id& centre) const;
-  /// \returns endpoints to be probed now; each is due again only after a while
+  /// \returns endpoints to be probed now, and schedules their next probes
   [[nodiscard]] std::vector<endpoint_id> due(time_ms now);
 
  private:
@@ -42,7 +43,7 @@
     data_centre_id centre;
     time_ms next_probe;
     time_ms wait;
-    bool silent{false}; ///< counted among the silent of its data centre
+    bool silent{false}; ///< counted in `silent_in_a_row_`
   };
 
   reach_options options_;
--- a/src/relay/impl/request_accounts.cpp
+++ b/src/relay/impl/request_accounts.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-// A caller that comes back sooner may meet the same state.
+// A caller that retries sooner may find the budget unchanged.
 constexpr time_ms least_retry_after{50};
 
-// Another host may hold the tokens, and still serve the request in time; this one may later.
+// The earlier of two times: when this host expects to hold the tokens, and when a retry may reach
+// another host that holds them.
 time_ms soonest_retry(std::optional<time_ms> covered_here, time_ms elsewhere) noexcept {
   return std::max(std::min(covered_here.value_or(elsewhere), elsewhere), least_retry_after);
 }
--- a/src/relay/impl/request_preview.cpp
+++ b/src/relay/impl/request_preview.cpp
@@ -33,7 +33,7 @@
     seen.bytes = header.size() + static_cast<std::size_t>(framing.bytes);
     seen.state = bytes.size() < seen.bytes ? preview_state::arriving : preview_state::whole;
   } catch (const error&) {
-    seen.state = preview_state::other; // refused by whoever reads it
+    seen.state = preview_state::other; // the thread that reads the request refuses it
   }
   return seen;
 }
--- a/src/relay/impl/request_preview.hpp
+++ b/src/relay/impl/request_preview.hpp
@@ -9,22 +9,23 @@
 
 constexpr std::size_t most_header_fields = 200;
 
-/// \brief How far a request can be told from the bytes that have come.
+/// \brief State of a request in a connection's buffer.
 enum class preview_state {
   arriving, ///< more bytes are needed
   whole,
-  other, ///< malformed, too large, or its body's end is told in another way than by a length
+  other, ///< malformed, too large, with a chunked body, or with an `Expect` field
 };
 
-/// \brief A request as it lies in a connection's buffer; nothing is consumed.
+/// \brief The first request in a connection's buffer.
 struct request_preview {
   preview_state state{preview_state::arriving};
-  request_head head;   ///< of a whole one
-  std::size_t bytes{}; ///< header and body of a whole one
+  request_head head;   ///< only when the request is whole
+  std::size_t bytes{}; ///< size of header and body; only when the request is whole
 };
 
-/// \param most_header  bytes
-/// \param most_body    bytes
+/// \brief Examines the first request in `bytes` without consuming it.
+/// \param most_header  maximum size of the header in bytes
+/// \param most_body    maximum size of the body in bytes
 [[nodiscard]] request_preview preview_request(std::string_view bytes, std::size_t most_header,
                                               std::size_t most_body);
 
--- a/src/relay/impl/request_relay.cpp
+++ b/src/relay/impl/request_relay.cpp
@@ -13,8 +13,9 @@
   return run.go();
 }
 
-// Refused by the header alone: threads, tokens and the log cost a busy host many times more. What
-// the configuration does not allow gets its usual answer from a thread.
+// A refusal by the header alone saves the thread, the reservation of tokens and the log line, which
+// cost many times more. Requests that `admit` rejects are accepted here: a thread answers them with
+// the proper error.
 request_relay::screening request_relay::screen(const request_head& head, bool shed) {
   admitted_request admitted;
   try {
@@ -75,7 +76,8 @@
   lengths_.note(kind, length);
 }
 
-// Before some requests of a kind have ended nothing is known of it, and it is taken.
+// Until some requests of a kind have ended, its duration is unknown and taken as 0, so that it is
+// accepted.
 run_forecast request_relay::forecast(const std::string& kind, time_ms most) const {
   constexpr std::size_t likely_percent = 90;
   const std::scoped_lock lock{mutex_};
--- a/src/relay/impl/request_relay.hpp
+++ b/src/relay/impl/request_relay.hpp
@@ -21,41 +21,42 @@
 
 namespace sedgechute {
 
-/// \brief What may follow an answer on its caller's connection.
+/// \brief What to do with the caller's connection after an answer.
 enum class after_answer {
   next_request,
-  close, ///< the answer is complete
-  abort, ///< it is not, and must not look so
+  close, ///< close in order: the answer is complete
+  abort, ///< reset: the answer is incomplete, and the caller must notice
 };
 
 struct relay_options {
   retry_bounds retries;
   stop_bounds stop;
-  time_ms connect_timeout{300}; ///< to an endpoint; a data centre is at most some ms away
-  /// Connections idle for longer are not used again: endpoints close them, and a request that
-  /// crosses the close may have run as far as we can tell.
+  time_ms connect_timeout{300}; ///< to an endpoint; other data centres are at most some ms away
+  /// Maximum idle time of a reused connection. Endpoints close idle connections, and a request that
+  /// crosses the close has to be treated as one that may have run.
   time_ms most_idle{3500};
   time_ms most_idle_run_once{1500}; ///< the same for requests that must not run twice
-  time_ms full_retry_after{500};    ///< told to callers when every endpoint is full
-  /// Requests that are open at once. A host that takes more than its processor carries answers all
-  /// of them late, and loses them all when it is killed.
+  time_ms full_retry_after{500};    ///< `Retry-After` when every endpoint is full
+  /// Maximum number of open requests. With more than its processor can handle, a host answers all
+  /// of them late, and all are lost if it is killed.
   std::size_t most_open{600};
-  /// Requests taken and not yet sent to an endpoint; of a team that has its part of them, no more
-  /// are taken.
+  /// Maximum number of requests in preparation, i.e. not yet sent to an endpoint; beyond it, teams
+  /// that have used up their share are refused.
   std::size_t most_preparing{100};
-  time_ms overload_retry_after{400}; ///< told to callers beyond that; another host may have room
-  retry_hint_options pressure_retry; ///< told while this host is busy; another one has room
-  time_ms stop_retry_after{50};      ///< told while this host stops; another one has room
-  time_ms budget_retry_after{100};   ///< told when tokens lie with other hosts
-  /// Of an endpoint whose request may not be run again; its connection fails long before when the
-  /// endpoint or the way to it is gone.
+  time_ms overload_retry_after{400}; ///< `Retry-After` beyond that; another host may have capacity
+  retry_hint_options
+      pressure_retry;              ///< for `Retry-After` while this host's processor is overloaded
+  time_ms stop_retry_after{50};    ///< `Retry-After` while this host stops; others have capacity
+  time_ms budget_retry_after{100}; ///< `Retry-After` when other hosts hold the tokens
+  /// Maximum time without a byte from an endpoint whose request may not be run again. When the
+  /// endpoint or the network path is down, its connection fails much earlier.
   time_ms longest_silence{60000};
   std::size_t most_reply_head{32768};
-  std::size_t most_buffered_body{std::size_t{8} << 20U}; ///< of an answer that is no stream
+  std::size_t most_buffered_body{std::size_t{8} << 20U}; ///< of an answer that is not a stream
 };
 
-/// \brief Serves requests: finds the route, takes tokens, places, sends, tries again where that is
-/// allowed, and gives one whole answer or one truthful refusal. Thread-safe.
+/// \brief Serves requests: finds the route, reserves tokens, chooses endpoints, sends, retries
+/// where that is allowed, and returns one complete answer or one refusal. Thread-safe.
 class request_relay {
  public:
   struct parts {
@@ -65,8 +66,8 @@
     const clock& time;
     structured_log& log;
     metrics& figures;
-    std::function<config_ptr()> config; ///< in force now; null before the first
-    std::function<std::size_t()> hosts; ///< that share bounds of the fleet
+    std::function<config_ptr()> config; ///< returns the one in force; null before the first
+    std::function<std::size_t()> hosts; ///< returns the number of hosts that share fleet limits
     host_pressure pressure{};
   };
 
@@ -74,29 +75,30 @@
 
   [[nodiscard]] after_answer serve(incoming_request& request);
 
-  /// \returns whether one new request is to be refused for the processor's sake
+  /// \returns whether the next new request is to be refused because the processor is overloaded
   [[nodiscard]] bool sheds() const { return parts_.pressure.sheds && parts_.pressure.sheds(); }
-  /// \brief A request has come.
+  /// \brief Counts a request that arrived.
   void note_request(bool turned_away) const;
-  /// \returns whether as many requests are open as this host carries
+  /// \returns whether the maximum number of requests is open
   [[nodiscard]] bool full() const noexcept { return open_ >= options_.most_open; }
-  /// \returns whether any request may be taken without a look at it
+  /// \returns whether requests may be accepted without examining them
   [[nodiscard]] bool has_room() const {
     return !full() && preparing_.total() < options_.most_preparing;
   }
   [[nodiscard]] preparing_requests& preparing() noexcept { return preparing_; }
 
-  /// \brief What a busy host decides about a request of which only the header was looked at.
+  /// \brief Decision about a request by its header alone.
   struct screening {
     bool taken{true};
-    std::string refusal{};           ///< ready to be written
-    bool ends_connection{false};     ///< it says so
-    preparing_requests::mark mark{}; ///< of one that is taken
+    std::string refusal{};           ///< complete response if the request is refused
+    bool ends_connection{false};     ///< the refusal contains `Connection: close`
+    preparing_requests::mark mark{}; ///< counts an accepted request as in preparation
   };
-  /// \param shed  the processor has no time for it, whichever team it is of
+  /// \brief Decides by its header whether a request is accepted on a host under load.
+  /// \param shed  refuse it, whichever team it belongs to, as the processor is overloaded
   [[nodiscard]] screening screen(const request_head& head, bool shed);
 
-  /// \returns requests that are being served.
+  /// \returns the number of requests that are being served
   [[nodiscard]] std::size_t open() const noexcept { return open_; }
   [[nodiscard]] planned_stop& stop() noexcept { return stop_; }
   [[nodiscard]] const planned_stop& stop() const noexcept { return stop_; }
@@ -110,7 +112,7 @@
   [[nodiscard]] bool may_repeat(const std::string& service);
   void note_first_send(const std::string& service);
   void note_length(const std::string& kind, time_ms length);
-  /// \param most  that the request may take
+  /// \param most  time until the deadline of the request
   [[nodiscard]] run_forecast forecast(const std::string& kind, time_ms most) const;
 
   parts parts_;
@@ -125,7 +127,7 @@
   preparing_requests preparing_;
 };
 
-/// \brief A refusal of our own, ready to be written.
+/// \returns a refusal by this host as a complete HTTP response
 [[nodiscard]] std::string refusal_text(const wire_dialect& dialect, const error& reason,
                                        const std::string& attempt, bool last_on_connection);
 
--- a/src/relay/impl/request_run.cpp
+++ b/src/relay/impl/request_run.cpp
@@ -37,8 +37,8 @@
     throw relay_.too_many_open();
 }
 
-// Refused before it costs more. Once the balancer has seen the host busy, the caller's next
-// connection is dealt to another one.
+// Refuses early, before the request costs more. Once the balancer has seen that the host is busy,
+// it sends the caller's next connection to another one.
 void request_run::check_processor() {
   if (in_.screened || !relay_.sheds())
     return;
@@ -46,7 +46,7 @@
   throw request_relay::processor_used_up(relay_.options_.pressure_retry.soon);
 }
 
-// A connection that its caller keeps brings requests until the process is gone.
+// Requests keep arriving on persistent connections until the process exits.
 void request_run::check_time_left() const {
   if (!relay_.stop_.begun())
     return;
@@ -58,16 +58,15 @@
                 relay_.options_.stop_retry_after};
 }
 
-// Some of the time until here may have passed with the request unread or waiting for tokens. On a
-// host that has more to do than its processor carries, callers give up meanwhile, and a send would
-// only add work for nobody.
+// The request may have waited to be read or for tokens. On an overloaded host callers give up
+// meanwhile, and sending their requests would only add load.
 after_answer request_run::run_sends() {
   send_outcome end = send_outcome::not_run;
   do {
     if (watch_.left_by_now())
       return give_up(send_outcome::caller_left);
     if (!may_have_run_)
-      check_time_left(); // an endpoint that refused it, or took no connection, has cost some
+      check_time_left(); // earlier refusals and failed connects have taken time
     const auto place = find_place();
     if (!place)
       break;
@@ -129,7 +128,7 @@
   connect_result reached = reach(place);
   if (!reached.link)
     return without_connection(reached.status);
-  if (!relay_.stop_.taking()) { // since it was looked at, an endpoint was chosen and connected to
+  if (!relay_.stop_.taking()) { // the cut may have come during the connect
     relay_.connections_.give_back(place.endpoint, place.life, std::move(reached.link));
     return send_outcome::host_stopped;
   }
@@ -138,7 +137,7 @@
   sent_to_.push_back(place.endpoint);
   avoid_.push_back(place.incarnation);
   const bool may_have_run_before = may_have_run_;
-  may_have_run_ = true; // from the first byte on, until the endpoint says otherwise
+  may_have_run_ = true; // until the endpoint replies that it did not run the request
   in_.preparing.end();
   const send_outcome end = exchange(place, std::move(reached.link), prompt_read);
   if (end == send_outcome::not_run)
@@ -155,8 +154,8 @@
   return why == io_status::timed_out ? send_outcome::silent : send_outcome::unreachable;
 }
 
-// An endpoint that takes no connection would hold its request beyond the time that the exit has for
-// the last answers: the wait ends at the cut.
+// The connect is interrupted at the cut. Otherwise a silent endpoint could hold the request beyond
+// the time that is left for the last answers before the exit.
 connect_result request_run::reach(const placement& place) {
   const time_ms most_idle = runs_once(*admitted_.on_route) ? relay_.options_.most_idle_run_once
                                                            : relay_.options_.most_idle;
@@ -224,10 +223,10 @@
   return last_on_connection_ || relay_.stop_.begun();
 }
 
-// The header of a stream may have gone before the signal to stop, without a word of the
-// connection's end. Its caller's next request would come here all the same, and be refused. One
-// that has come already gets an answer, which says what the first did not: dropped, it may have run
-// as far as its caller can tell.
+// A stream's header may have been sent before the stop began, without `Connection: close`. Then the
+// connection is closed if no further request has arrived, as the next one would only be refused. A
+// request that has already arrived is answered, with `Connection: close`: if it were dropped, its
+// caller could not tell whether it has run.
 after_answer request_run::done() const noexcept {
   if (!ends_connection())
     return after_answer::next_request;
--- a/src/relay/impl/request_run.hpp
+++ b/src/relay/impl/request_run.hpp
@@ -14,7 +14,7 @@
 
 namespace sedgechute {
 
-/// \brief One request on its way: admitted, sent as often as allowed, and ended with one answer.
+/// \brief Handles one request: admits it, sends it as often as allowed and writes one answer.
 class request_run {
  public:
   request_run(request_relay& relay, incoming_request& in);
@@ -25,15 +25,15 @@
   [[nodiscard]] after_answer go();
 
  private:
-  /// \throws error when more requests are open here than this host carries
+  /// \throws error when the maximum number of requests is exceeded
   void check_room() const;
-  /// \throws error when this host stops before the request can have come to its end
+  /// \throws error when this host will stop before the request is likely to end
   void check_time_left() const;
   void check_processor();
   [[nodiscard]] after_answer run_sends();
   [[nodiscard]] bool may_send_again(send_outcome end);
-  /// \returns nothing when it was sent to every endpoint that could take it
-  /// \throws error when there is none at all
+  /// \returns nothing when the request has been sent to every suitable endpoint
+  /// \throws error when there is no suitable endpoint at all
   [[nodiscard]] std::optional<placement> find_place();
   [[nodiscard]] send_outcome send_once(const placement& place);
   /// \param prompt_read  set to whether the endpoint has begun to answer
@@ -41,17 +41,17 @@
   [[nodiscard]] send_outcome exchange(const placement& place, std::unique_ptr<connection> link,
                                       bool& prompt_read);
   [[nodiscard]] connect_result reach(const placement& place);
-  /// \param why  there is none
+  /// \param why  the status of the failed connect
   [[nodiscard]] send_outcome without_connection(io_status why) noexcept;
   [[nodiscard]] after_answer note_answered();
   [[nodiscard]] after_answer give_up(send_outcome end);
-  /// \brief Passes on the error that the last endpoint answered.
+  /// \brief Forwards the error response of the last endpoint.
   [[nodiscard]] after_answer deliver_error(std::string_view reason);
   [[nodiscard]] after_answer refuse(const error& reason);
   [[nodiscard]] bool ends_connection() const noexcept;
   [[nodiscard]] after_answer done() const noexcept;
   [[nodiscard]] send_progress progress() const noexcept;
-  /// \returns of its team's budget
+  /// \returns the tokens used of the team's budget
   [[nodiscard]] std::uint64_t used() const noexcept;
   [[nodiscard]] time_ms now() const noexcept { return relay_.parts_.time.now(); }
   void log_end(int status, std::string_view reason);
@@ -64,11 +64,11 @@
   admitted_request admitted_;
   std::uint64_t reserved_{0};
   std::vector<endpoint_id> sent_to_;
-  std::vector<endpoint_hash> avoid_; ///< incarnations that it was sent to
+  std::vector<endpoint_hash> avoid_; ///< incarnations that the request was sent to
   int unreachable_{0};
   bool may_have_run_{false};
-  bool last_on_connection_{false}; ///< its caller had better go elsewhere
-  bool told_end_{false};           ///< a refusal says that its connection ends
+  bool last_on_connection_{false}; ///< the caller should connect to another host
+  bool told_end_{false};           ///< the refusal contains `Connection: close`
 };
 
 } // namespace sedgechute
--- a/src/relay/impl/retry_allowance.hpp
+++ b/src/relay/impl/retry_allowance.hpp
@@ -9,26 +9,27 @@
 
 namespace sedgechute {
 
-/// \brief How many requests may be sent to an endpoint once more. The bound holds over all hosts
-/// together in any window of `window`; each host keeps to its own part of it.
+/// \brief Limit on retries within any time `window`. It holds for all hosts together; each host
+/// keeps to its share.
 struct retry_bounds {
-  double ratio{0.2};      ///< of the requests for the service
-  std::uint64_t slack{0}; ///< beyond the ratio, for all hosts together
+  double ratio{0.2};      ///< retries per request for the service
+  std::uint64_t slack{0}; ///< retries beyond the ratio, for all hosts together
   time_ms window{10000};
-  /// Part of the bound that is used: windows slide, and hosts count requests at other moments than
-  /// the callers do.
+  /// Fraction of the limit that is used. The rest is a margin, because windows slide and hosts
+  /// count requests at other times than callers do.
   double used_part{0.7};
 };
 
-/// \brief Counts requests and repeats for each service over a sliding window. Not thread-safe.
+/// \brief Retry budget: counts requests and retries of each service over a sliding window. Not
+/// thread-safe.
 class retry_allowance {
  public:
   explicit retry_allowance(const retry_bounds& bounds) : bounds_{bounds} {}
 
   void note_request(const std::string& service, time_ms now);
-  /// \brief Takes one repeat from the allowance.
-  /// \param hosts  that share the slack
-  /// \returns false when there is none left
+  /// \brief Takes one retry from the budget of a service.
+  /// \param hosts  number of hosts that share the slack
+  /// \returns false when the budget is used up
   [[nodiscard]] bool take_repeat(const std::string& service, std::size_t hosts, time_ms now);
 
  private:
@@ -38,7 +39,7 @@
     std::uint64_t requests{};
     std::uint64_t repeats{};
   };
-  using window = std::array<bucket, buckets + 1>; ///< one more, so that a whole window is covered
+  using window = std::array<bucket, buckets + 1>; ///< the current bucket is incomplete, so one more
 
   [[nodiscard]] bucket& current(window& counts, time_ms now) const;
   [[nodiscard]] bucket sum(const window& counts, time_ms now) const;
--- a/src/relay/impl/send_outcome.hpp
+++ b/src/relay/impl/send_outcome.hpp
@@ -4,18 +4,18 @@
 
 namespace sedgechute {
 
-/// \brief How one send to an endpoint ended.
+/// \brief Result of sending a request to an endpoint once.
 enum class send_outcome {
-  answered,    ///< the caller has its answer
-  not_run,     ///< the endpoint refused it unrun
-  unreachable, ///< nothing was sent: the endpoint refused the connection
-  silent,      ///< nothing was sent: nothing answered
-  failed,      ///< it may have run: the endpoint broke off, or sent no answer of this request
-  own_error,   ///< the endpoint answered with an error of its own
-  stalled,     ///< nothing came for so long that another endpoint is the better bet
-  timed_out,   ///< the request's time was over
+  answered,    ///< the caller has received the answer
+  not_run,     ///< the endpoint refused the request without running it
+  unreachable, ///< not sent: the endpoint refused the connection
+  silent,      ///< not sent: the connect timed out
+  failed,      ///< may have run: the connection broke, or the reply was not for this request
+  own_error,   ///< the endpoint answered with an error
+  stalled,     ///< no bytes for so long that another endpoint is likely to be faster
+  timed_out,   ///< the deadline of the request passed
   caller_left,
-  host_stopped, ///< it may have run: this host ended the wait
+  host_stopped, ///< may have run: the stop of this host ended the wait
 };
 
 template <>
--- a/src/relay/impl/send_rules.cpp
+++ b/src/relay/impl/send_rules.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr int most_unreachable = 3; // endpoints without a connection that one request tries
+constexpr int most_unreachable = 3; // failed connects per request
 
-// A stall is several times what an undisturbed answer takes: engines at full load are up to three
-// times slower, and a run given up is lost work.
+// A stall is several times the usual duration: engines at full load are up to three times slower,
+// and an abandoned run is wasted work.
 constexpr std::int64_t targets_before_stall = 3;
 constexpr std::int64_t pauses_before_stall = 5;
 constexpr time_ms least_stall{600};
@@ -67,8 +67,8 @@
   return next_send::none;
 }
 
-// An endpoint that accepts a request and says nothing looks like a slow one. Where the request may
-// be run again, waiting for it beyond several times what an answer takes only makes it later.
+// An endpoint that hangs cannot be told from a slow one. When the request may run again, waiting
+// for longer than several times the usual duration only delays the answer.
 time_ms patience_with_endpoint(const route& on, const send_progress& so_far,
                                time_ms most) noexcept {
   if (!may_run_again(on, so_far.sends))
@@ -99,8 +99,9 @@
                  "no endpoint took the request", retry_after);
 }
 
-// Engines admit the more urgent first. Who must have the first event sooner goes before: a short
-// prompt that waits behind a long one is late, the long one hardly notices the short one.
+// Engines admit more urgent requests first. Routes with a shorter latency target come first: a
+// short prompt that waits behind a long one misses its target, whereas the long one is hardly
+// delayed by a short one.
 int urgency_of(const route& on) noexcept {
   constexpr std::int64_t ms_a_step = 200;
   constexpr std::int64_t least_urgent = 8;
--- a/src/relay/impl/start_question.cpp
+++ b/src/relay/impl/start_question.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr std::size_t most_head_bytes = 8192;
-constexpr std::size_t most_body_bytes = 65536; // it names each request that runs there
+constexpr std::size_t most_body_bytes = 65536; // the body lists each running request
 constexpr int ok = 200;
 
-/// \returns false when the body did not come whole within its bounds
+/// \returns false when the body is too large or incomplete at the deadline
 bool read_body(connection& link, const header_fields& fields, time_ms deadline) {
   const auto length = fields.number("Content-Length");
   const std::size_t wanted = length.value_or(most_body_bytes);
--- a/src/relay/impl/start_question.hpp
+++ b/src/relay/impl/start_question.hpp
@@ -7,8 +7,8 @@
 
 namespace sedgechute {
 
-/// \brief Asks an endpoint on a new connection when it started.
-/// \returns nothing when it does not say, or not in time
+/// \brief Queries the start time of an endpoint on a new connection.
+/// \returns nothing when there is no valid reply before the deadline
 [[nodiscard]] std::optional<time_ms> ask_start(connection& link, const endpoint_id& endpoint,
                                                const wire_dialect& dialect, time_ms deadline);
 
--- a/src/relay/impl/wire_dialect.hpp
+++ b/src/relay/impl/wire_dialect.hpp
@@ -9,33 +9,35 @@
 
 namespace sedgechute {
 
-/// \brief What an endpoint said of its load.
+/// \brief Load of an endpoint, as it reported in a reply.
 struct load_report {
   std::uint64_t running{};
   std::uint64_t waiting{};
   std::uint64_t slots{};
 };
 
-/// \brief What a header of an endpoint says beside status and body.
+/// \brief Values from the header of an endpoint's reply.
 struct reply_terms {
-  bool not_run{false};   ///< it did not run the request and never will
+  bool not_run{false};   ///< the endpoint did not run the request and never will
   bool misdirected{};    ///< another endpoint has the address now
-  bool whole{false};     ///< bears the mark of an endpoint's answer
-  std::string echoed_id; ///< of the request that it answers; empty when absent
+  bool whole{false};     ///< has the field that marks an endpoint's answer
+  std::string echoed_id; ///< id of the request that is answered; empty when absent
   std::optional<load_report> load;
 };
 
-/// \brief What is added to a request on its way to an endpoint.
+/// \brief Values added to a request to an endpoint.
 struct endpoint_send {
   std::string endpoint; ///< any other endpoint at the address refuses the request
   std::string team;     ///< empty for routes that need no key
   time_ms time_left;
-  std::optional<std::uint64_t> resume_behind; ///< last event that the caller has
-  std::string fetch_from; ///< `IP:port` of an endpoint that has read parts of the prompt; or empty
-  std::optional<int> urgency; ///< 0 comes first
+  std::optional<std::uint64_t> resume_behind; ///< last event that the caller has received
+  std::string
+      fetch_from; ///< `IP:port` of an endpoint that has cached parts of the prompt; or empty
+  std::optional<int> urgency; ///< 0 is the most urgent
 };
 
-/// \brief The names of the fields that callers and endpoints use. Translates; decides nothing.
+/// \brief Port that maps requests and replies to the header fields of callers and endpoints. It
+/// only translates.
 class wire_dialect {
  public:
   wire_dialect() = default;
@@ -44,14 +46,14 @@
   virtual ~wire_dialect() = default;
 
   [[nodiscard]] virtual request_terms read_request(const header_fields& fields) const = 0;
-  /// \brief Turns a caller's fields into those of a request to an endpoint.
+  /// \brief Changes the fields of a caller's request to those of a request to an endpoint.
   virtual void to_endpoint(header_fields& fields, const endpoint_send& send) const = 0;
   [[nodiscard]] virtual reply_terms read_reply(const response_head& head) const = 0;
-  /// \returns a request to an endpoint for what it says of itself; it runs nothing
+  /// \returns a request for an endpoint's status; it runs nothing
   [[nodiscard]] virtual request_head self_question(const std::string& endpoint) const = 0;
-  /// \returns when the endpoint started, by its machine's time of day; nothing when it does not say
+  /// \returns the start time in an endpoint's status, by its wall clock; nothing when it is absent
   [[nodiscard]] virtual std::optional<time_ms> read_start(std::string_view self_answer) const = 0;
-  /// \brief Adds what a refusal of our own says beside its status.
+  /// \brief Adds the fields of a refusal by this host.
   virtual void to_refusal(header_fields& fields, const std::string& attempt,
                           std::optional<time_ms> retry_after) const = 0;
 };
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief The way of a request through an entry host: connections, routes, placement, retries and
-/// the answer. What callers and endpoints speak is behind the port `wire_dialect`.
+/// \brief Relays requests through an entry host: connections, routes, placement, retries and
+/// answers. The port `wire_dialect` hides the header fields of callers and endpoints.
 
 #include "relay/impl/caller_poll.hpp"
 #include "relay/impl/choose_replica.hpp"
