--- a/src/claims/impl/claim_reporter.cpp
+++ b/src/claims/impl/claim_reporter.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// How long an ungranted ticket is remembered after its report was acknowledged. A grant that
-// arrives later than this leaves the key claimed by an attempt that never runs: retries are then
-// told `outcome unknown`, which is safe.
+// How long an ungranted ticket is kept after its report was acknowledged. A grant that arrives
+// later leaves the key claimed by an attempt that never runs; retries then get `outcome unknown`,
+// which is safe.
 constexpr time_ms late_grant_window{60000};
-constexpr time_ms longest_wait{16000};
+constexpr time_ms max_report_interval{16000};
 
 } // namespace
 
@@ -36,22 +36,22 @@
 
 void claim_reporter::report(time_ms now, entry& ended) {
   ended.next_send = now + ended.wait;
-  ended.wait = std::min(ended.wait * 2, longest_wait);
+  ended.wait = std::min(ended.wait * 2, max_report_interval);
   const claim& subject = ended.request.subject;
   const shard_status* status = shards_->find(ended.request.shard);
   if (!ended.acknowledged && status != nullptr)
     output_->push_back({status->holder, claim_report{subject}});
   if (ended.request.copied)
     return;
-  // The copy is what a retry finds when this host has died, so it is repeated like the report.
+  // A retry needs the copy if this host dies, so the copy is repeated like the report.
   const retained_answer* answer = answers_->find(subject.id);
   ended.request.copied = answer == nullptr || !hosts_->is_live(subject.peer);
   if (!ended.request.copied)
     output_->push_back({subject.peer, replica_put{subject.ticket, subject.id, *answer}});
 }
 
-// The attempt will never be dispatched here, and the holder must learn it, or the key would stay
-// claimed. A grant that was seen before is a repeat.
+// The attempt will never be dispatched. The holder must be informed, or the key would stay claimed.
+// A second grant of the same ticket is a repeated message and is ignored.
 void claim_reporter::on_late_grant(time_ms now, const claim_reply& reply) {
   const auto found = ended_.find(reply.ticket);
   if (found == ended_.end() || found->second.request.granted)
@@ -72,7 +72,7 @@
     return;
   found->second.acknowledged = true;
   confirm(found->second, ack.current);
-  settle(ack.ticket);
+  remove_if_done(ack.ticket);
 }
 
 void claim_reporter::confirm(entry& ended, bool current) {
@@ -90,7 +90,7 @@
   if (found == ended_.end())
     return;
   found->second.request.copied = true;
-  settle(stored.ticket);
+  remove_if_done(stored.ticket);
 }
 
 void claim_reporter::on_new_epoch(time_ms now, const claim_shard& shard) {
@@ -103,7 +103,7 @@
   }
 }
 
-void claim_reporter::settle(std::uint64_t ticket) {
+void claim_reporter::remove_if_done(std::uint64_t ticket) {
   entry& ended = ended_.at(ticket);
   if (ended.request.granted && ended.acknowledged && ended.request.copied)
     ended_.erase(ticket);
@@ -144,7 +144,7 @@
   return std::all_of(ended_.begin(), ended_.end(), [&](const auto& item) {
     const entry& ended = item.second;
     return (ended.acknowledged && ended.request.copied) ||
-           last_tick_ - ended.ended >= options_.report_patience;
+           last_tick_ - ended.ended >= options_.report_timeout;
   });
 }
 
