--- a/bench/faults/schedule.cpp
+++ b/bench/faults/schedule.cpp
@@ -21,14 +21,14 @@
   s.model.data_centres = static_cast<std::uint32_t>(1 + random.below(3));
   s.model.teams = static_cast<std::uint32_t>(1 + random.below(2));
   s.model.bought = static_cast<token_count>(500 + random.below(8000));
-  s.model.ledger.least_slice = static_cast<token_count>(100 + random.below(1500));
+  s.model.ledger.min_slice = static_cast<token_count>(100 + random.below(1500));
   s.model.ledger.chunk_share = 8;
   s.model.ledger.repeat_window = 4 + random.below(40);
   s.model.ledger.report_interval = time_ms{500};
   s.model.ledger.busy_requests = static_cast<std::uint32_t>(1 + random.below(2));
   s.model.ledger.orphan_wait = time_ms{3000};
   s.model.ledger.probe_after = time_ms{1000};
-  s.model.ledger.settled_kept = time_ms{60000};
+  s.model.ledger.settled_retention = time_ms{60000};
   s.model.ledger.idle_close = time_ms{5000};
   s.model.ledger.abandon_wait = time_ms{2000};
   s.model.ledger.fault = fault;
--- a/src/ledger/impl/budget_host.cpp
+++ b/src/ledger/impl/budget_host.cpp
@@ -30,14 +30,14 @@
   if (offset <= context_.state.offset())
     return;
   context_.state.on_record(offset, record);
-  if (context_.note_read_back(record.id))
-    holder_.on_read_back(record.id);
+  if (context_.confirm_append(record.id))
+    holder_.on_append_confirmed(record.id);
   sync_touched(now);
 }
 
 void budget_host::sync_touched(time_ms now) {
   for (const name_index team : context_.state.touched()) {
-    history_.note(now, team, context_.state.totals(team).spent);
+    history_.record_spent(now, team, context_.state.totals(team).spent);
     witness_.sync(team);
     holder_.sync(now, team);
   }
@@ -47,7 +47,7 @@
 // for what its earlier life countersigned or received, of which it knows nothing.
 void budget_host::on_message(time_ms now, const incarnation& from, const incarnation& to,
                              const ledger_message& message) {
-  if (to != context_.self() && !context_.mutated(mutation::trust_old_incarnation))
+  if (to != context_.self() && !context_.is_injected(mutation::trust_old_incarnation))
     return;
   dispatch(now, context_.state.intern_host(from), message);
 }
@@ -94,14 +94,14 @@
   const time_ms wait = context_.options().abandon_wait;
   const auto lost = [&](name_index host) {
     return host == no_name ||
-           (!context_.live.is_live(host) && now - context_.live.missed_since(host) >= wait);
+           (!context_.live.is_live(host) && now - context_.live.absent_since(host) >= wait);
   };
   std::vector<epoch_number> mine;
   context_.state.for_each([&](const delegation& d) {
     if (d.state != delegation_state::live || !lost(d.holder) || !lost(d.witness))
       return;
     const std::uint64_t hash = stable_hash(context_.state.team_name(d.team).str());
-    const name_index place = context_.live.place(hash, no_name, no_name);
+    const name_index place = context_.live.rendezvous_host(hash, no_name, no_name);
     if (place == context_.self_index() || place == no_name)
       mine.push_back(d.epoch);
   });
@@ -175,8 +175,8 @@
 void budget_host::finish_restore(time_ms now) {
   context_.state.finish_restore();
   for (const ledger_snapshot::recent_id& recent : context_.state.recent())
-    if (context_.note_read_back(recent.id))
-      holder_.on_read_back(recent.id);
+    if (context_.confirm_append(recent.id))
+      holder_.on_append_confirmed(recent.id);
   for (name_index team = 0; team < context_.state.team_count(); ++team) {
     witness_.sync(team);
     holder_.sync(now, team);
--- a/src/ledger/impl/entry_role.cpp
+++ b/src/ledger/impl/entry_role.cpp
@@ -8,15 +8,15 @@
 
 // A holder knows an attempt by its ticket and how many holders it had asked before. A withdrawal
 // that comes late, after the attempt has returned to that holder, then cannot end the newer ask.
-constexpr unsigned asks_bits = 8;
-constexpr ticket_number most_asks = (1U << asks_bits) - 1;
+constexpr unsigned ask_count_bits = 8;
+constexpr ticket_number max_ask_count = (1U << ask_count_bits) - 1;
 
-constexpr ticket_number first_wire(ticket_number ticket) {
-  return ticket << asks_bits;
+constexpr ticket_number first_holder_ticket(ticket_number ticket) {
+  return ticket << ask_count_bits;
 }
 
-constexpr ticket_number ticket_of(ticket_number wire) {
-  return wire >> asks_bits;
+constexpr ticket_number entry_ticket_of(ticket_number holder_ticket) {
+  return holder_ticket >> ask_count_bits;
 }
 
 } // namespace
@@ -24,14 +24,14 @@
 // A holder in the same data centre goes on when the data centre is cut off. Failing that, the
 // holder with most left is asked, because near exhaustion the others have nothing.
 name_index entry_role::pick_holder(const attempt& a) const {
-  if (a.prior != no_name && context_.live.is_live(a.prior))
-    return a.prior;
+  if (a.prior_holder != no_name && context_.live.is_live(a.prior_holder))
+    return a.prior_holder;
   name_index best = no_name;
   token_count most = 0;
   bool best_is_near = false;
   context_.state.for_each_of(a.team, [&](const delegation& d) {
-    if (d.state != delegation_state::live || d.holder == a.avoid ||
-        !context_.live.is_staying(d.holder))
+    if (d.state != delegation_state::live || d.holder == a.excluded ||
+        !context_.live.is_available(d.holder))
       return;
     const bool near = d.data_centre == context_.data_centre();
     const bool better = near != best_is_near ? near : d.remainder() > most;
@@ -46,24 +46,24 @@
   if (best != no_name)
     return best;
   const std::uint64_t hash = stable_hash(context_.state.team_name(a.team).str());
-  return context_.live.place(hash, no_name, a.avoid);
+  return context_.live.rendezvous_host(hash, no_name, a.excluded);
 }
 
 budget_decision entry_role::reserve(time_ms now, const budget_request& request) {
   const ticket_number ticket = ++last_ticket_;
   attempt& a = attempts_[ticket];
-  a.wire = first_wire(ticket);
+  a.holder_ticket = first_holder_ticket(ticket);
   a.team = context_.state.intern_team(request.team);
   a.key = request.key;
   a.bound = request.bound;
   a.deadline = now + context_.options().reserve_wait;
   if (request.prior_holder)
-    a.prior = context_.state.intern_host(*request.prior_holder);
+    a.prior_holder = context_.state.intern_host(*request.prior_holder);
   a.holder = pick_holder(a);
   unfinished_.insert(ticket);
   const std::size_t decided = context_.out.decisions.size();
-  ask(now, a);
-  deliver_local(now);
+  send_reserve(now, a);
+  deliver_local_replies(now);
   // A local holder usually decides at once; then the decision is returned rather than queued.
   for (std::size_t i = decided; i < context_.out.decisions.size(); ++i) {
     if (context_.out.decisions[i].ticket != ticket)
@@ -75,20 +75,20 @@
   return {ticket, budget_outcome::pending, {}, 0, 0};
 }
 
-void entry_role::ask(time_ms now, attempt& a) {
+void entry_role::send_reserve(time_ms now, attempt& a) {
   a.sent = now;
   if (a.holder == no_name)
     return;
-  reserve_request request{a.wire, {}, a.key, a.bound, a.deadline - now};
+  reserve_request request{a.holder_ticket, {}, a.key, a.bound, a.deadline - now};
   if (a.holder == context_.self_index()) {
-    holder_.reserve(now, a.team, {a.holder, a.wire}, request);
+    holder_.reserve(now, a.team, {a.holder, a.holder_ticket}, request);
     return;
   }
   request.team = context_.state.team_name(a.team);
   context_.send(a.holder, std::move(request));
 }
 
-void entry_role::deliver_local(time_ms now) {
+void entry_role::deliver_local_replies(time_ms now) {
   while (!context_.local_replies.empty()) {
     const reserve_reply reply = context_.local_replies.back();
     context_.local_replies.pop_back();
@@ -96,24 +96,25 @@
   }
 }
 
-entry_role::attempt* entry_role::find_wire(name_index from, ticket_number wire) {
-  const auto found = attempts_.find(ticket_of(wire));
-  const bool same =
-      found != attempts_.end() && found->second.wire == wire && found->second.holder == from;
+entry_role::attempt* entry_role::find_by_holder_ticket(name_index from,
+                                                       ticket_number holder_ticket) {
+  const auto found = attempts_.find(entry_ticket_of(holder_ticket));
+  const bool same = found != attempts_.end() && found->second.holder_ticket == holder_ticket &&
+                    found->second.holder == from;
   return same ? &found->second : nullptr;
 }
 
 void entry_role::on_reply(time_ms now, name_index from, const reserve_reply& message) {
-  attempt* const known = find_wire(from, message.ticket);
+  attempt* const known = find_by_holder_ticket(from, message.ticket);
   // An answer that nobody waits for any more needs nothing here: the holder asks about the
   // reservation later and is told to withdraw it.
-  if (known == nullptr || known->where != phase::asking)
+  if (known == nullptr || known->phase != attempt_phase::asking)
     return;
-  const ticket_number ticket = ticket_of(message.ticket);
+  const ticket_number ticket = entry_ticket_of(message.ticket);
   attempt& a = *known;
   switch (message.verdict) {
   case reserve_verdict::granted:
-    a.where = phase::open;
+    a.phase = attempt_phase::open;
     a.epoch = message.epoch;
     a.bound = message.bound;
     unfinished_.erase(ticket);
@@ -147,57 +148,58 @@
 void entry_role::follow_redirect(time_ms now, ticket_number ticket, attempt& a, name_index from,
                                  epoch_number epoch) {
   const delegation* const d = context_.state.find(epoch);
-  const bool named = d != nullptr && d->holder != a.avoid && context_.live.is_staying(d->holder);
-  a.avoid = from;
+  const bool named =
+      d != nullptr && d->holder != a.excluded && context_.live.is_available(d->holder);
+  a.excluded = from;
   if (named && d->holder != from)
     change_holder(now, ticket, a, d->holder);
   else
-    ask_again(now, ticket, a);
+    ask_best_holder(now, ticket, a);
 }
 
 // A holder that is short collects tokens for this attempt from the others, so the attempt stays
 // with it. Were it to follow the tokens, it would leave each holder as they arrive.
-void entry_role::repeat_ask(time_ms now, ticket_number ticket, attempt& a) {
-  const bool sent_away = a.avoid != no_name;
-  a.avoid = no_name;
+void entry_role::retry_reserve(time_ms now, ticket_number ticket, attempt& a) {
+  const bool sent_away = a.excluded != no_name;
+  a.excluded = no_name;
   if (!sent_away && context_.live.is_live(a.holder))
-    ask(now, a);
+    send_reserve(now, a);
   else
-    ask_again(now, ticket, a);
+    ask_best_holder(now, ticket, a);
 }
 
-void entry_role::ask_again(time_ms now, ticket_number ticket, attempt& a) {
+void entry_role::ask_best_holder(time_ms now, ticket_number ticket, attempt& a) {
   const name_index holder = pick_holder(a);
-  if (holder == a.avoid || holder == no_name)
+  if (holder == a.excluded || holder == no_name)
     return;
   if (holder != a.holder)
     change_holder(now, ticket, a, holder);
   else
-    ask(now, a);
+    send_reserve(now, a);
 }
 
 // The holder asked before may have reserved without this host's knowing.
 void entry_role::change_holder(time_ms now, ticket_number ticket, attempt& a, name_index holder) {
-  if ((a.wire & most_asks) == most_asks)
+  if ((a.holder_ticket & max_ask_count) == max_ask_count)
     return;
   if (a.holder != no_name)
-    tell_holder(now, ticket, a, settle_kind::withdraw, 0);
-  ++a.wire;
+    send_settle(now, ticket, a, settle_kind::withdraw, 0);
+  ++a.holder_ticket;
   a.holder = holder;
-  ask(now, a);
+  send_reserve(now, a);
 }
 
-void entry_role::tell_holder(time_ms now, ticket_number ticket, attempt& a, settle_kind kind,
+void entry_role::send_settle(time_ms now, ticket_number ticket, attempt& a, settle_kind kind,
                              token_count tokens) {
-  settle_request request{a.wire, {}, a.key, kind, tokens};
+  settle_request request{a.holder_ticket, {}, a.key, kind, tokens};
   if (a.holder == context_.self_index()) {
-    holder_.settle(now, a.team, {a.holder, a.wire}, request);
+    holder_.settle(now, a.team, {a.holder, a.holder_ticket}, request);
     return;
   }
   request.team = context_.state.team_name(a.team);
   a.sent = now;
   if (kind != settle_kind::shrink && kind != settle_kind::withdraw) {
-    a.where = phase::settling;
+    a.phase = attempt_phase::settling;
     a.since = now;
     a.settling = request;
     unfinished_.insert(ticket);
@@ -207,68 +209,68 @@
 
 void entry_role::shrink(time_ms now, ticket_number ticket, token_count bound) {
   const auto found = attempts_.find(ticket);
-  if (found == attempts_.end() || found->second.where != phase::open ||
+  if (found == attempts_.end() || found->second.phase != attempt_phase::open ||
       bound >= found->second.bound)
     return;
   found->second.bound = bound;
-  tell_holder(now, ticket, found->second, settle_kind::shrink, bound);
-  deliver_local(now);
+  send_settle(now, ticket, found->second, settle_kind::shrink, bound);
+  deliver_local_replies(now);
 }
 
 void entry_role::settle(time_ms now, ticket_number ticket, std::optional<token_count> used) {
-  end(now, ticket, used ? settle_kind::settle : settle_kind::no_usage, used.value_or(0));
+  finish(now, ticket, used ? settle_kind::settle : settle_kind::no_usage, used.value_or(0));
 }
 
 void entry_role::disown(time_ms now, ticket_number ticket) {
-  end(now, ticket, settle_kind::disown, 0);
+  finish(now, ticket, settle_kind::disown, 0);
 }
 
-void entry_role::end(time_ms now, ticket_number ticket, settle_kind kind, token_count tokens) {
+void entry_role::finish(time_ms now, ticket_number ticket, settle_kind kind, token_count tokens) {
   const auto found = attempts_.find(ticket);
-  if (found == attempts_.end() || found->second.where != phase::open)
+  if (found == attempts_.end() || found->second.phase != attempt_phase::open)
     return;
-  tell_holder(now, ticket, found->second, kind, tokens);
-  if (found->second.where != phase::settling)
+  send_settle(now, ticket, found->second, kind, tokens);
+  if (found->second.phase != attempt_phase::settling)
     attempts_.erase(found);
-  deliver_local(now);
+  deliver_local_replies(now);
 }
 
 void entry_role::withdraw(time_ms now, ticket_number ticket) {
   const auto found = attempts_.find(ticket);
-  if (found == attempts_.end() || found->second.where == phase::settling)
+  if (found == attempts_.end() || found->second.phase == attempt_phase::settling)
     return;
   attempt& a = found->second;
   if (a.holder != no_name)
-    tell_holder(now, ticket, a, settle_kind::withdraw, 0);
+    send_settle(now, ticket, a, settle_kind::withdraw, 0);
   unfinished_.erase(ticket);
   attempts_.erase(ticket);
-  deliver_local(now);
+  deliver_local_replies(now);
 }
 
 void entry_role::on_message(time_ms, name_index from, const settle_reply& message) {
-  const attempt* const known = find_wire(from, message.ticket);
-  if (known == nullptr || known->where != phase::settling)
+  const attempt* const known = find_by_holder_ticket(from, message.ticket);
+  if (known == nullptr || known->phase != attempt_phase::settling)
     return;
-  unfinished_.erase(ticket_of(message.ticket));
-  attempts_.erase(ticket_of(message.ticket));
+  unfinished_.erase(entry_ticket_of(message.ticket));
+  attempts_.erase(entry_ticket_of(message.ticket));
 }
 
 // Only an attempt that this host does not know, or has with another holder, is withdrawn.
 void entry_role::on_message(time_ms, name_index from, const reservation_probe& message) {
-  if (find_wire(from, message.ticket) != nullptr)
+  if (find_by_holder_ticket(from, message.ticket) != nullptr)
     return;
   context_.send(
       from, settle_request{message.ticket, message.team, message.key, settle_kind::withdraw, 0});
 }
 
-bool entry_role::settled_or_lost(time_ms now, attempt& a) {
+bool entry_role::give_up_or_resend(time_ms now, attempt& a) {
   const ledger_options& options = context_.options();
   const bool lost = !context_.live.is_live(a.holder) &&
-                    now - context_.live.missed_since(a.holder) >= options.settle_give_up;
+                    now - context_.live.absent_since(a.holder) >= options.settle_give_up;
   if (lost && now - a.since >= options.settle_give_up)
     return true;
-  const std::int64_t patience = context_.live.is_live(a.holder) ? 1 : 8;
-  if (now - a.sent >= options.message_resend * patience) {
+  const std::int64_t backoff_factor = context_.live.is_live(a.holder) ? 1 : 8;
+  if (now - a.sent >= options.message_resend * backoff_factor) {
     a.sent = now;
     context_.send(a.holder, a.settling);
   }
@@ -276,15 +278,15 @@
 }
 
 void entry_role::tick(time_ms now) {
-  deliver_local(now);
+  deliver_local_replies(now);
   const std::vector<ticket_number> unfinished{unfinished_.begin(), unfinished_.end()};
   for (const ticket_number ticket : unfinished) {
     const auto found = attempts_.find(ticket);
     if (found == attempts_.end())
       continue;
     attempt& a = found->second;
-    if (a.where == phase::settling) {
-      if (settled_or_lost(now, a)) {
+    if (a.phase == attempt_phase::settling) {
+      if (give_up_or_resend(now, a)) {
         unfinished_.erase(ticket);
         attempts_.erase(ticket);
       }
@@ -294,10 +296,10 @@
       decide(ticket, a, budget_outcome::unreachable, 0);
       withdraw(now, ticket);
     } else if (now - a.sent >= context_.options().message_resend) {
-      repeat_ask(now, ticket, a);
+      retry_reserve(now, ticket, a);
     }
   }
-  deliver_local(now);
+  deliver_local_replies(now);
 }
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/entry_role.hpp
+++ b/src/ledger/impl/entry_role.hpp
@@ -31,17 +31,17 @@
   [[nodiscard]] std::size_t open_attempts() const noexcept { return attempts_.size(); }
 
  private:
-  enum class phase : std::uint8_t { asking, open, settling };
+  enum class attempt_phase : std::uint8_t { asking, open, settling };
 
   struct attempt {
-    phase where{phase::asking};
-    ticket_number wire{}; ///< what the holder knows this attempt by
+    attempt_phase phase{attempt_phase::asking};
+    ticket_number holder_ticket{}; ///< what the holder knows this attempt by
     name_index team{no_name};
     request_id key;
     token_count bound{};
     name_index holder{no_name};
-    name_index prior{no_name};
-    name_index avoid{no_name}; ///< said that it holds nothing
+    name_index prior_holder{no_name};
+    name_index excluded{no_name}; ///< said that it holds nothing
     epoch_number epoch{};
     time_ms deadline;
     time_ms sent;
@@ -50,19 +50,19 @@
   };
 
   [[nodiscard]] name_index pick_holder(const attempt& a) const;
-  void ask(time_ms now, attempt& a);
+  void send_reserve(time_ms now, attempt& a);
   void follow_redirect(time_ms now, ticket_number ticket, attempt& a, name_index from,
                        epoch_number epoch);
-  void repeat_ask(time_ms now, ticket_number ticket, attempt& a);
-  void ask_again(time_ms now, ticket_number ticket, attempt& a);
+  void retry_reserve(time_ms now, ticket_number ticket, attempt& a);
+  void ask_best_holder(time_ms now, ticket_number ticket, attempt& a);
   void change_holder(time_ms now, ticket_number ticket, attempt& a, name_index holder);
-  [[nodiscard]] attempt* find_wire(name_index from, ticket_number wire);
+  [[nodiscard]] attempt* find_by_holder_ticket(name_index from, ticket_number holder_ticket);
   void decide(ticket_number ticket, const attempt& a, budget_outcome outcome, token_count bound);
-  void tell_holder(time_ms now, ticket_number ticket, attempt& a, settle_kind kind,
+  void send_settle(time_ms now, ticket_number ticket, attempt& a, settle_kind kind,
                    token_count tokens);
-  void deliver_local(time_ms now);
-  void end(time_ms now, ticket_number ticket, settle_kind kind, token_count tokens);
-  [[nodiscard]] bool settled_or_lost(time_ms now, attempt& a);
+  void deliver_local_replies(time_ms now);
+  void finish(time_ms now, ticket_number ticket, settle_kind kind, token_count tokens);
+  [[nodiscard]] bool give_up_or_resend(time_ms now, attempt& a);
 
   host_context& context_;
   holder_role& holder_;
--- a/src/ledger/impl/holder_report.cpp
+++ b/src/ledger/impl/holder_report.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void holder_role::on_read_back(const record_id& id) {
+void holder_role::on_append_confirmed(const record_id& id) {
   for (auto& [team, a] : accounts_) {
     if (a->grant_sent == id)
       a->grant_sent.reset();
@@ -38,7 +38,7 @@
       return;
     const bool known = slice_of(team, d.epoch) != nullptr;
     if (known || d.state == delegation_state::live)
-      follow(now, account_of(now, team), d);
+      apply_delegation(now, account_of(now, team), d);
   });
   const auto found = accounts_.find(team);
   if (found == accounts_.end())
@@ -47,7 +47,7 @@
   advance(now, *found->second);
 }
 
-void holder_role::follow(time_ms now, account& a, const delegation& d) {
+void holder_role::apply_delegation(time_ms now, account& a, const delegation& d) {
   slice* s = a.find(d.epoch);
   if (s == nullptr) {
     s = &a.slices.emplace_back();
@@ -57,7 +57,7 @@
     a.invited = false;
     a.last_used = now;
   }
-  const bool trusting = context_.mutated(mutation::trust_append);
+  const bool trusting = context_.is_injected(mutation::trust_append);
   s->granted = trusting ? std::max(s->granted, d.granted) : d.granted;
   if (s->term != d.term) {
     s->term = d.term;
@@ -97,7 +97,7 @@
   slice* const s = d == nullptr ? nullptr : slice_of(d->team, message.epoch);
   if (s == nullptr || s->term != message.term || s->state != slice_state::live)
     return;
-  if (s->replacing && !context_.mutated(mutation::open_while_replacing))
+  if (s->replacing && !context_.is_injected(mutation::open_while_replacing))
     return;
   s->opened = std::max(s->opened, std::min(message.upto, s->opening));
   s->opening = std::max(s->opening, s->opened);
@@ -110,7 +110,7 @@
   if (s == nullptr || s->term != message.term)
     return;
   s->refused = true;
-  if (context_.mutated(mutation::reuse_epoch))
+  if (context_.is_injected(mutation::reuse_epoch))
     s->opened = s->opening;
   s->opening = s->opened;
   advance(now, *accounts_.at(d->team));
@@ -127,9 +127,9 @@
 
 // Tokens go back from what was opened, so that what the witness has not countersigned stays its
 // own to reclaim, and the two can never return the same token.
-void holder_role::give_back(time_ms now, account& a) {
+void holder_role::return_free_tokens(time_ms now, account& a) {
   slice* const s = a.live_slice();
-  if (s == nullptr || !giving_back(a) || s->free() <= 0)
+  if (s == nullptr || !must_return_tokens(a) || s->free() <= 0)
     return;
   token_count back = s->free();
   if (!draining_) {
@@ -166,25 +166,25 @@
 
 // A transfer to a host that is gone may or may not have arrived, so it is neither taken back nor
 // waited for: what nobody reports stays written off.
-bool holder_role::transfers_over(time_ms now, const slice& s) const {
+bool holder_role::transfers_finished(time_ms now, const slice& s) const {
   const live_hosts& live = context_.live;
   return std::all_of(s.transfers.begin(), s.transfers.end(), [&](const pending_transfer& t) {
     return !live.is_live(t.to_host) &&
-           now - live.missed_since(t.to_host) >= context_.options().settle_give_up;
+           now - live.absent_since(t.to_host) >= context_.options().settle_give_up;
   });
 }
 
 // Closing an idle slice while the log cannot be reached would only make it unusable: it could be
 // neither returned nor replaced until the log is back. So a report must have been read back first.
-bool holder_role::log_answers(time_ms now, const slice& s, const delegation& d) const {
+bool holder_role::log_is_reachable(time_ms now, const slice& s, const delegation& d) const {
   return s.version != 0 && d.version == s.version &&
          now - s.reported <= context_.options().append_resend * 4;
 }
 
-bool holder_role::is_done(time_ms now, const account& a, const slice& s) const {
-  if (s.reserved != 0 && !context_.mutated(mutation::return_reserved))
+bool holder_role::can_close(time_ms now, const account& a, const slice& s) const {
+  if (s.reserved != 0 && !context_.is_injected(mutation::return_reserved))
     return false;
-  if (!transfers_over(now, s))
+  if (!transfers_finished(now, s))
     return false;
   return s.state == slice_state::ended || draining_ || is_idle(now, a);
 }
@@ -202,7 +202,7 @@
   for (auto& [team, a] : accounts_) {
     for (slice& s : a->slices) {
       const delegation* const d = context_.state.find(s.epoch);
-      if (d != nullptr && is_due(now, regular, *a, s, *d))
+      if (d != nullptr && report_is_due(now, regular, *a, s, *d))
         body.epochs.push_back(make_report(now, s));
     }
   }
@@ -210,17 +210,17 @@
     context_.append_once(std::move(body));
 }
 
-bool holder_role::is_due(time_ms now, bool regular, account& a, slice& s,
-                         const delegation& d) const {
+bool holder_role::report_is_due(time_ms now, bool regular, account& a, slice& s,
+                                const delegation& d) const {
   bool probing = false;
-  if (s.state != slice_state::closing && is_done(now, a, s)) {
-    probing = s.state == slice_state::live && !draining_ && !log_answers(now, s, d);
+  if (s.state != slice_state::closing && can_close(now, a, s)) {
+    probing = s.state == slice_state::live && !draining_ && !log_is_reachable(now, s, d);
     if (!probing) {
       s.state = slice_state::closing;
       s.report_due = now;
     }
   }
-  const bool wanted = !s.receipts.empty() && (!a.wants.empty() || collector(a) != nullptr);
+  const bool wanted = !s.receipts.empty() && (!a.token_requests.empty() || collector(a) != nullptr);
   const bool urgent =
       s.state == slice_state::closing || s.returned > d.returned || wanted || probing;
   return (regular && is_changed(s, d)) || (urgent && now >= s.report_due);
@@ -241,7 +241,7 @@
 }
 
 void holder_role::tick(time_ms now) {
-  look_at_due(now);
+  check_due_reservations(now);
   for (auto next = accounts_.begin(); next != accounts_.end();) {
     account& a = *next->second;
     update_rates(now, a);
--- a/src/ledger/impl/holder_role.cpp
+++ b/src/ledger/impl/holder_role.cpp
@@ -35,7 +35,7 @@
                           const reserve_request& request) {
   account& a = account_of(now, team);
   a.last_used = now;
-  if (join(now, a, attempt, request))
+  if (join_reservation(now, a, attempt, request))
     return;
   if (draining_) {
     context_.reply(attempt, {0, reserve_verdict::elsewhere, 0, 0});
@@ -51,8 +51,8 @@
     context_.reply(attempt, {0, reserve_verdict::elsewhere, other->epoch, 0});
     return;
   }
-  const bool fits = a.waiting.empty() && !giving_back(a) &&
-                    reserve_now(now, a, attempt, request.key, request.bound);
+  const bool fits = a.waiting.empty() && !must_return_tokens(a) &&
+                    try_reserve(now, a, attempt, request.key, request.bound);
   if (!fits)
     a.waiting.push_back({attempt, request.key, request.bound, now, now + request.wait});
   const slice* const s = a.live_slice();
@@ -66,7 +66,7 @@
 bool holder_role::is_forgotten(const attempt_id& attempt) const {
   const auto found = forgotten_upto_.find(attempt.entry);
   return found != forgotten_upto_.end() && attempt.ticket <= found->second &&
-         !context_.mutated(mutation::forget_tickets);
+         !context_.is_injected(mutation::forget_tickets);
 }
 
 void holder_role::forget(const reservation_key& key, const reservation& r) {
@@ -79,8 +79,8 @@
 
 // Attempts of one request share its reservation, so that however many run there is one bill, and a
 // repeated or late request for a reservation makes no second one.
-bool holder_role::join(time_ms now, account& a, const attempt_id& attempt,
-                       const reserve_request& request) {
+bool holder_role::join_reservation(time_ms now, account& a, const attempt_id& attempt,
+                                   const reserve_request& request) {
   const auto waits = [&](const waiting_attempt& w) { return w.attempt == attempt; };
   if (std::any_of(a.waiting.begin(), a.waiting.end(), waits))
     return true;
@@ -94,7 +94,7 @@
   slice* const s = a.usable(r->epoch);
   if (r->state == reservation_state::orphaned) {
     r->state = reservation_state::open;
-    reservations_.look_again({a.team, request.key}, *r, now + context_.options().probe_after);
+    reservations_.schedule_check({a.team, request.key}, *r, now + context_.options().probe_after);
     if (s != nullptr) {
       s->lost -= r->bound;
       s->reserved += r->bound;
@@ -111,7 +111,7 @@
   return true;
 }
 
-bool holder_role::reserve_now(time_ms now, account& a, const attempt_id& attempt,
+bool holder_role::try_reserve(time_ms now, account& a, const attempt_id& attempt,
                               const request_id& key, token_count bound) {
   slice* const s = a.live_slice();
   if (s == nullptr || s->free() < bound)
@@ -142,7 +142,7 @@
     std::erase_if(a.waiting, [&](const waiting_attempt& w) { return w.attempt == attempt; });
   if (attempt.entry != context_.self_index())
     context_.send(attempt.entry, settle_reply{request.ticket});
-  if (!a.waiting.empty() || !a.wants.empty())
+  if (!a.waiting.empty() || !a.token_requests.empty())
     advance(now, a);
 }
 
@@ -160,10 +160,10 @@
     break;
   case settle_kind::disown:
     r.disowned = true;
-    leave(now, key, r, attempt);
+    remove_attempt(now, key, r, attempt);
     break;
   case settle_kind::withdraw:
-    leave(now, key, r, attempt);
+    remove_attempt(now, key, r, attempt);
     break;
   }
 }
@@ -178,8 +178,8 @@
 }
 
 // The last attempt to leave gives the tokens back, unless an earlier one may have used some.
-void holder_role::leave(time_ms now, const reservation_key& key, reservation& r,
-                        const attempt_id& attempt) {
+void holder_role::remove_attempt(time_ms now, const reservation_key& key, reservation& r,
+                                 const attempt_id& attempt) {
   std::erase(r.attempts, attempt);
   if (!r.attempts.empty())
     return;
@@ -196,7 +196,7 @@
 void holder_role::charge(time_ms now, account& a, const reservation_key& key, reservation& r,
                          token_count used) {
   token_count charged = std::clamp<token_count>(used, 0, r.bound);
-  if (context_.mutated(mutation::bill_above_bound))
+  if (context_.is_injected(mutation::bill_above_bound))
     charged = used;
   if (slice* const s = a.usable(r.epoch)) {
     token_count& from = r.state == reservation_state::orphaned ? s->lost : s->reserved;
@@ -207,10 +207,10 @@
   r.state = reservation_state::settled;
   r.bill = charged;
   context_.out.bills.push_back({context_.state.team_name(a.team), key.key, r.epoch, charged});
-  if (context_.mutated(mutation::forget_settled))
+  if (context_.is_injected(mutation::forget_settled))
     reservations_.erase(key);
   else
-    reservations_.look_again(key, r, now + context_.options().settled_kept);
+    reservations_.schedule_check(key, r, now + context_.options().settled_retention);
 }
 
 void holder_role::unreserve(time_ms now, name_index team, reservation& r) {
@@ -237,18 +237,18 @@
     found = a.origins.insert(found, {origin, 0});
   if (++found->requests != context_.options().busy_requests)
     return;
-  const name_index invited = context_.live.place(a.team_hash, origin, no_name);
+  const name_index invited = context_.live.rendezvous_host(a.team_hash, origin, no_name);
   if (invited != no_name)
     context_.send(invited, hold_budget{context_.state.team_name(a.team)});
 }
 
-void holder_role::look_at_due(time_ms now) {
+void holder_role::check_due_reservations(time_ms now) {
   while (const std::optional<reservation_key> key = reservations_.next_due(now)) {
     reservation* const r = reservations_.find(*key);
-    if (r == nullptr || r->look_at > now)
+    if (r == nullptr || r->next_check > now)
       continue;
     if (r->state == reservation_state::open)
-      look_at(now, *key, *r);
+      check_reservation(now, *key, *r);
     else
       forget(*key, *r);
   }
@@ -259,20 +259,20 @@
 // billed elsewhere. The bound is written off, unless an attempt under the key turns up in time.
 // A live entry host that does not know the attempt, because an answer was lost or came late,
 // withdraws it when asked.
-void holder_role::look_at(time_ms now, const reservation_key& key, reservation& r) {
+void holder_role::check_reservation(time_ms now, const reservation_key& key, reservation& r) {
   const ledger_options& options = context_.options();
   bool orphaned = true;
   for (const attempt_id& attempt : r.attempts) {
     const bool here = attempt.entry == context_.self_index();
     const bool live = here || context_.live.is_live(attempt.entry);
-    if (live || now - context_.live.missed_since(attempt.entry) < options.orphan_wait)
+    if (live || now - context_.live.absent_since(attempt.entry) < options.orphan_wait)
       orphaned = false;
     if (live && !here)
       context_.send(attempt.entry,
                     reservation_probe{attempt.ticket, context_.state.team_name(key.team), key.key});
   }
   if (!orphaned) {
-    reservations_.look_again(key, r, now + options.probe_after);
+    reservations_.schedule_check(key, r, now + options.probe_after);
     return;
   }
   write_off(now, key, r);
@@ -284,7 +284,7 @@
     s->reserved -= r.bound;
     s->lost += r.bound;
   }
-  reservations_.look_again(key, r, now + context_.options().settled_kept);
+  reservations_.schedule_check(key, r, now + context_.options().settled_retention);
 }
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/holder_role.hpp
+++ b/src/ledger/impl/holder_role.hpp
@@ -34,7 +34,7 @@
   void on_message(time_ms now, name_index from, const hold_budget& message);
 
   /// \brief A grant or replacement of ours was read back; to be followed by `sync`.
-  void on_read_back(const record_id& id);
+  void on_append_confirmed(const record_id& id);
   /// \brief Follows what the log says of this host's epochs.
   void sync(time_ms now, name_index team);
   void tick(time_ms now);
@@ -58,61 +58,64 @@
   // holder_role.cpp: reservations
   [[nodiscard]] bool is_forgotten(const attempt_id& attempt) const;
   void forget(const reservation_key& key, const reservation& r);
-  bool join(time_ms now, account& a, const attempt_id& attempt, const reserve_request& request);
-  bool reserve_now(time_ms now, account& a, const attempt_id& attempt, const request_id& key,
+  bool join_reservation(time_ms now, account& a, const attempt_id& attempt,
+                        const reserve_request& request);
+  bool try_reserve(time_ms now, account& a, const attempt_id& attempt, const request_id& key,
                    token_count bound);
   void apply_settle(time_ms now, account& a, const reservation_key& key, reservation& r,
                     const attempt_id& attempt, const settle_request& request);
   void charge(time_ms now, account& a, const reservation_key& key, reservation& r,
               token_count used);
   static void shrink(account& a, reservation& r, token_count bound);
-  void leave(time_ms now, const reservation_key& key, reservation& r, const attempt_id& attempt);
+  void remove_attempt(time_ms now, const reservation_key& key, reservation& r,
+                      const attempt_id& attempt);
   void unreserve(time_ms now, name_index team, reservation& r);
   void count_origin(time_ms now, account& a, name_index entry);
-  void look_at_due(time_ms now);
-  void look_at(time_ms now, const reservation_key& key, reservation& r);
+  void check_due_reservations(time_ms now);
+  void check_reservation(time_ms now, const reservation_key& key, reservation& r);
   void write_off(time_ms now, const reservation_key& key, reservation& r);
 
   // holder_supply.cpp: where tokens come from
   void advance(time_ms now, account& a);
   void serve_waiting(time_ms now, account& a);
-  void open_more(time_ms now, account& a);
-  void name_new_witness(time_ms now, account& a, slice& s);
-  void extend(time_ms now, account& a);
-  void send_grant(time_ms now, account& a, token_count tokens);
+  void open_next_chunk(time_ms now, account& a);
+  void append_witness_replacement(time_ms now, account& a, slice& s);
+  void request_grant(time_ms now, account& a);
+  void append_grant(time_ms now, account& a, token_count tokens);
   void decide_waiting(time_ms now, account& a);
   [[nodiscard]] std::optional<reserve_verdict> verdict_for(time_ms now, account& a,
                                                            const waiting_attempt& w);
   [[nodiscard]] const delegation* collector(account& a) const;
   void send_to_collector(time_ms now, account& a, const delegation& to);
-  [[nodiscard]] token_count most_left(const account& a) const;
+  [[nodiscard]] token_count max_remaining(const account& a) const;
   [[nodiscard]] token_count chunk_size(const account& a) const;
   [[nodiscard]] double demand_share(time_ms now, const account& a) const;
   [[nodiscard]] token_count slice_size(time_ms now, const account& a, token_count need) const;
   [[nodiscard]] token_count unopened(const slice& s) const;
-  [[nodiscard]] bool giving_back(const account& a) const;
+  [[nodiscard]] bool must_return_tokens(const account& a) const;
 
   // holder_transfer.cpp: tokens between holders
-  void serve_wants(time_ms now, account& a);
-  void forget_credited();
-  void note_told(account& a, const token_refusal& message);
+  void serve_token_requests(time_ms now, account& a);
+  void prune_credited_transfers();
+  void record_peer_spend(account& a, const token_refusal& message);
   [[nodiscard]] static token_count sendable(const slice& s);
-  bool serve_want(time_ms now, account& a, slice& s, const token_want& want);
-  void transfer(time_ms now, account& a, slice& s, const token_want& want, token_count tokens);
+  bool serve_token_request(time_ms now, account& a, slice& s, const pending_token_request& request);
+  void transfer(time_ms now, account& a, slice& s, const pending_token_request& request,
+                token_count tokens);
   void resend_transfers(time_ms now, account& a);
-  void ask_others(time_ms now, account& a);
+  void request_from_peers(time_ms now, account& a);
   [[nodiscard]] token_count shortage(account& a) const;
 
   // holder_report.cpp: the log
-  void follow(time_ms now, account& a, const delegation& d);
+  void apply_delegation(time_ms now, account& a, const delegation& d);
   void retire_slices(account& a);
-  void give_back(time_ms now, account& a);
-  [[nodiscard]] bool transfers_over(time_ms now, const slice& s) const;
-  [[nodiscard]] bool log_answers(time_ms now, const slice& s, const delegation& d) const;
-  [[nodiscard]] bool is_done(time_ms now, const account& a, const slice& s) const;
+  void return_free_tokens(time_ms now, account& a);
+  [[nodiscard]] bool transfers_finished(time_ms now, const slice& s) const;
+  [[nodiscard]] bool log_is_reachable(time_ms now, const slice& s, const delegation& d) const;
+  [[nodiscard]] bool can_close(time_ms now, const account& a, const slice& s) const;
   [[nodiscard]] bool is_idle(time_ms now, const account& a) const;
-  [[nodiscard]] bool is_due(time_ms now, bool regular, account& a, slice& s,
-                            const delegation& d) const;
+  [[nodiscard]] bool report_is_due(time_ms now, bool regular, account& a, slice& s,
+                                   const delegation& d) const;
   void report_changes(time_ms now);
   [[nodiscard]] bool is_changed(const slice& s, const delegation& d) const;
   [[nodiscard]] epoch_report make_report(time_ms now, slice& s) const;
@@ -121,7 +124,7 @@
   host_context& context_;
   absl::btree_map<name_index, std::unique_ptr<account>> accounts_; ///< ordered, for replay
   reservation_table reservations_;
-  absl::flat_hash_set<std::pair<epoch_number, std::uint32_t>> credited_;
+  absl::flat_hash_set<std::pair<epoch_number, std::uint32_t>> credited_transfers_;
   // By entry host: the newest ticket whose reservation was settled and is no longer remembered.
   absl::btree_map<name_index, ticket_number> forgotten_upto_;
   bool draining_{false};
--- a/src/ledger/impl/holder_supply.cpp
+++ b/src/ledger/impl/holder_supply.cpp
@@ -21,17 +21,17 @@
   if (const delegation* const other = collector(a))
     send_to_collector(now, a, *other);
   serve_waiting(now, a);
-  serve_wants(now, a);
-  give_back(now, a);
-  open_more(now, a);
-  extend(now, a);
-  ask_others(now, a);
+  serve_token_requests(now, a);
+  return_free_tokens(now, a);
+  open_next_chunk(now, a);
+  request_grant(now, a);
+  request_from_peers(now, a);
   decide_waiting(now, a);
 }
 
 // Small requests may pass a large one that does not fit: refusing them would strand what is left.
 void holder_role::serve_waiting(time_ms now, account& a) {
-  if (giving_back(a))
+  if (must_return_tokens(a))
     return;
   for (auto next = a.waiting.begin(); next != a.waiting.end();) {
     const slice* const s = a.live_slice();
@@ -44,8 +44,8 @@
     const waiting_attempt w = std::move(*next);
     next = a.waiting.erase(next);
     const reserve_request again{w.attempt.ticket, {}, w.key, w.bound, {}};
-    if (!join(now, a, w.attempt, again))
-      static_cast<void>(reserve_now(now, a, w.attempt, w.key, w.bound));
+    if (!join_reservation(now, a, w.attempt, again))
+      static_cast<void>(try_reserve(now, a, w.attempt, w.key, w.bound));
   }
 }
 
@@ -59,7 +59,7 @@
 
 // A data centre's part of the team's demand. Until the rates have settled all count alike.
 double holder_role::demand_share(time_ms now, const account& a) const {
-  if (now - a.rates_since < context_.options().settling_span || a.team_rate <= 0)
+  if (now - a.rates_since < context_.options().rate_warmup || a.team_rate <= 0)
     return 1.0 / static_cast<double>(std::max<std::size_t>(context_.live.data_centre_count(), 1));
   return std::min(1.0, a.spent_rate / a.team_rate);
 }
@@ -69,11 +69,11 @@
 token_count holder_role::slice_size(time_ms now, const account& a, token_count need) const {
   const ledger_options& options = context_.options();
   const token_count pool = context_.state.totals(a.team).pool();
-  const token_count left = std::max<token_count>(most_left(a), 0);
+  const token_count left = std::max<token_count>(max_remaining(a), 0);
   const auto part = static_cast<token_count>(static_cast<double>(left) * demand_share(now, a));
   const token_count demand =
       std::max(demand_in(a.spent_rate, options.slice_span), pool / options.first_slice_share);
-  return std::max({need, std::min(demand, part), std::min(options.least_slice, pool)});
+  return std::max({need, std::min(demand, part), std::min(options.min_slice, pool)});
 }
 
 token_count holder_role::unopened(const slice& s) const {
@@ -81,34 +81,34 @@
 }
 
 // A reduced or cancelled contract takes back what is delegated and unused.
-bool holder_role::giving_back(const account& a) const {
+bool holder_role::must_return_tokens(const account& a) const {
   return draining_ || context_.state.totals(a.team).overcommitted();
 }
 
-void holder_role::open_more(time_ms now, account& a) {
+void holder_role::open_next_chunk(time_ms now, account& a) {
   slice* const s = a.live_slice();
   if (s == nullptr || unopened(*s) <= 0)
     return;
   const token_count chunk = chunk_size(a);
   token_count need = a.waiting_tokens() + chunk - s->free();
-  for (const token_want& want : a.wants)
-    need += want.tokens;
-  if (giving_back(a) || collector(a) != nullptr)
+  for (const pending_token_request& request : a.token_requests)
+    need += request.tokens;
+  if (must_return_tokens(a) || collector(a) != nullptr)
     need = s->unopened();
   if (need <= 0)
     return;
   const token_count upto = std::min(s->granted, s->opened + std::max(need, chunk));
-  if (s->witness == no_name || context_.mutated(mutation::skip_witness)) {
+  if (s->witness == no_name || context_.is_injected(mutation::skip_witness)) {
     s->opened = upto;
     s->opening = upto;
     serve_waiting(now, a);
-    serve_wants(now, a);
+    serve_token_requests(now, a);
     return;
   }
   if (s->replacing)
     return;
-  if (!context_.live.is_staying(s->witness)) {
-    name_new_witness(now, a, *s);
+  if (!context_.live.is_available(s->witness)) {
+    append_witness_replacement(now, a, *s);
     return;
   }
   const bool asked = s->opening >= upto && s->opening > s->opened;
@@ -121,30 +121,30 @@
 
 // The record states what was countersigned so far. From here until it is read back, answers of the
 // old witness are ignored: the new one could not know of them when it reclaims.
-void holder_role::name_new_witness(time_ms now, account& a, slice& s) {
+void holder_role::append_witness_replacement(time_ms now, account& a, slice& s) {
   name_index witness =
-      context_.live.place(a.team_hash, context_.data_centre(), context_.self_index());
+      context_.live.rendezvous_host(a.team_hash, context_.data_centre(), context_.self_index());
   if (witness == no_name)
-    witness = context_.live.place(a.team_hash, no_name, context_.self_index());
+    witness = context_.live.rendezvous_host(a.team_hash, no_name, context_.self_index());
   replace_witness body;
   body.epoch = s.epoch;
   body.term = s.term;
   if (witness != no_name)
     body.witness = context_.state.host(witness);
   body.opened = witness == no_name ? s.granted : s.opened;
-  if (!context_.mutated(mutation::open_while_replacing))
+  if (!context_.is_injected(mutation::open_while_replacing))
     s.opening = s.opened;
   s.replacing = context_.append(now, std::move(body));
 }
 
-void holder_role::extend(time_ms now, account& a) {
+void holder_role::request_grant(time_ms now, account& a) {
   if (a.grant_sent && a.grant_basis + context_.options().repeat_window < context_.state.offset()) {
     // The window has passed without it, so no copy of it can be valid any more.
-    context_.forget_append(*a.grant_sent);
+    context_.cancel_append(*a.grant_sent);
     a.grant_sent.reset();
   }
   const token_count pool = context_.state.totals(a.team).pool();
-  if (a.grant_sent || pool <= 0 || giving_back(a) || a.closing() || collector(a) != nullptr)
+  if (a.grant_sent || pool <= 0 || must_return_tokens(a) || a.closing() || collector(a) != nullptr)
     return;
   slice* const s = a.live_slice();
   const token_count held = s == nullptr ? 0 : s->free() + unopened(*s);
@@ -154,15 +154,15 @@
   // A slice is kept nearly full, because it has to last when the data centre is cut off.
   const bool low = s == nullptr || held < need || held < size / 4 * 3;
   if (wanted && low)
-    send_grant(now, a, std::min(pool, std::max(need, size - held)));
+    append_grant(now, a, std::min(pool, std::max(need, size - held)));
 }
 
-void holder_role::send_grant(time_ms now, account& a, token_count tokens) {
+void holder_role::append_grant(time_ms now, account& a, token_count tokens) {
   slice* const s = a.live_slice();
   name_index witness =
-      context_.live.place(a.team_hash, context_.data_centre(), context_.self_index());
+      context_.live.rendezvous_host(a.team_hash, context_.data_centre(), context_.self_index());
   if (witness == no_name)
-    witness = context_.live.place(a.team_hash, no_name, context_.self_index());
+    witness = context_.live.rendezvous_host(a.team_hash, no_name, context_.self_index());
   grant body;
   body.team = context_.state.team_name(a.team);
   body.extends = s == nullptr ? 0 : s->epoch;
@@ -174,9 +174,9 @@
   body.chunk = chunk_size(a);
   body.basis = context_.state.offset();
   a.grant_basis = body.basis;
-  a.grant_since = now;
+  a.grant_sent_at = now;
   a.grant_sent = context_.append(now, std::move(body));
-  if (s != nullptr && context_.mutated(mutation::trust_append))
+  if (s != nullptr && context_.is_injected(mutation::trust_append))
     s->granted += tokens;
 }
 
@@ -193,7 +193,7 @@
 }
 
 // The log lags behind what holders have spent; their own words and this host's slices are newer.
-token_count holder_role::most_left(const account& a) const {
+token_count holder_role::max_remaining(const account& a) const {
   const team_totals totals = context_.state.totals(a.team);
   token_count left = totals.contract - totals.spent - totals.written_off;
   const auto newer = [&](epoch_number epoch, token_count spent) {
@@ -206,8 +206,8 @@
     if (d.state != delegation_state::live && context_.live.is_live(d.holder))
       left += d.written_off();
   });
-  for (const told_spent& told : a.told)
-    newer(told.epoch, told.spent);
+  for (const peer_spend& peer : a.peer_spends)
+    newer(peer.epoch, peer.spent);
   for (const slice& s : a.slices)
     newer(s.epoch, s.spent);
   return left;
@@ -219,7 +219,7 @@
 // come within the wait.
 std::optional<reserve_verdict> holder_role::verdict_for(time_ms now, account& a,
                                                         const waiting_attempt& w) {
-  if (w.bound > most_left(a))
+  if (w.bound > max_remaining(a))
     return reserve_verdict::exhausted;
   if (draining_)
     return reserve_verdict::elsewhere;
--- a/src/ledger/impl/holder_transfer.cpp
+++ b/src/ledger/impl/holder_transfer.cpp
@@ -12,16 +12,17 @@
   return s == nullptr ? 0 : a.waiting_tokens() - s->free() - unopened(*s);
 }
 
-void holder_role::ask_others(time_ms now, account& a) {
+void holder_role::request_from_peers(time_ms now, account& a) {
   const token_count missing = shortage(a);
-  if (missing <= 0 || giving_back(a))
+  if (missing <= 0 || must_return_tokens(a))
     return;
   const time_ms resend = context_.options().message_resend;
   const bool log_helps = context_.state.totals(a.team).pool() > 0 || a.grant_sent;
-  if (log_helps && !(a.grant_sent && now - a.grant_since > resend * 2))
+  if (log_helps && !(a.grant_sent && now - a.grant_sent_at > resend * 2))
     return;
-  asking_round& round = a.round;
-  const bool over = round.complete() && (round.gained || now - round.started >= resend * 2);
+  token_request_round& round = a.round;
+  const bool over =
+      round.complete() && (round.tokens_received || now - round.started >= resend * 2);
   if (round.number == 0 || over) {
     round = {round.number + 1, now, now, {}, false};
     context_.state.for_each_of(a.team, [&](const delegation& d) {
@@ -35,7 +36,7 @@
   round.sent = now;
   const token_request request{context_.state.team_name(a.team), round.number, a.live_slice()->epoch,
                               missing + chunk_size(a)};
-  for (asking_round::asked& asked : round.holders) {
+  for (token_request_round::queried_holder& asked : round.holders) {
     if (asked.answered)
       continue;
     const delegation* const d = context_.state.find(asked.epoch);
@@ -55,22 +56,23 @@
     return;
   }
   account& a = *found->second;
-  std::erase_if(a.wants, [&](const token_want& w) { return w.to == message.to; });
+  std::erase_if(a.token_requests,
+                [&](const pending_token_request& w) { return w.to == message.to; });
   const time_ms deadline = now + context_.options().message_resend * 4;
-  a.wants.push_back({from, message.round, message.to, message.tokens, deadline});
+  a.token_requests.push_back({from, message.round, message.to, message.tokens, deadline});
   advance(now, a);
 }
 
-void holder_role::serve_wants(time_ms now, account& a) {
-  for (auto next = a.wants.begin(); next != a.wants.end();) {
+void holder_role::serve_token_requests(time_ms now, account& a) {
+  for (auto next = a.token_requests.begin(); next != a.token_requests.end();) {
     slice* const s = a.live_slice();
-    bool served = s != nullptr && serve_want(now, a, *s, *next);
+    bool served = s != nullptr && serve_token_request(now, a, *s, *next);
     if (s == nullptr) {
       context_.send(next->from,
                     token_refusal{context_.state.team_name(a.team), next->round, 0, a.reserved()});
       served = true;
     }
-    next = served ? a.wants.erase(next) : std::next(next);
+    next = served ? a.token_requests.erase(next) : std::next(next);
   }
 }
 
@@ -86,29 +88,30 @@
 
 // Two holders that are both short must not pass the same tokens to and fro: the one with the older
 // epoch collects.
-bool holder_role::serve_want(time_ms now, account& a, slice& s, const token_want& want) {
-  const bool needed_here = !a.waiting.empty() && s.epoch < want.to;
+bool holder_role::serve_token_request(time_ms now, account& a, slice& s,
+                                      const pending_token_request& request) {
+  const bool needed_here = !a.waiting.empty() && s.epoch < request.to;
   const token_count spare = needed_here ? 0 : sendable(s);
   const bool more_soon = unopened(s) > 0 || s.free() > sendable(s);
-  if (!needed_here && spare < want.tokens && more_soon && now < want.deadline)
+  if (!needed_here && spare < request.tokens && more_soon && now < request.deadline)
     return false;
-  const token_count given = std::min(spare, want.tokens);
+  const token_count given = std::min(spare, request.tokens);
   if (given > 0)
-    transfer(now, a, s, want, given);
+    transfer(now, a, s, request, given);
   else
-    context_.send(want.from,
-                  token_refusal{context_.state.team_name(a.team), want.round, s.epoch, s.spent});
+    context_.send(request.from,
+                  token_refusal{context_.state.team_name(a.team), request.round, s.epoch, s.spent});
   return true;
 }
 
-void holder_role::transfer(time_ms now, account& a, slice& s, const token_want& want,
+void holder_role::transfer(time_ms now, account& a, slice& s, const pending_token_request& request,
                            token_count tokens) {
-  if (!context_.mutated(mutation::send_without_debit))
+  if (!context_.is_injected(mutation::send_without_debit))
     s.sent += tokens;
   const std::uint32_t sequence = ++s.next_transfer;
-  s.transfers.push_back({sequence, want.to, want.from, tokens, now});
-  context_.send(want.from, token_transfer{context_.state.team_name(a.team), s.epoch, sequence,
-                                          want.to, tokens});
+  s.transfers.push_back({sequence, request.to, request.from, tokens, now});
+  context_.send(request.from, token_transfer{context_.state.team_name(a.team), s.epoch, sequence,
+                                             request.to, tokens});
 }
 
 // The last requests of a budget would each find part of their tokens with every holder. So when
@@ -118,11 +121,11 @@
   const ledger_options& options = context_.options();
   const auto soon = static_cast<token_count>(
       a.team_rate * static_cast<double>(options.collect_span.count()) / 1000.0);
-  if (s == nullptr || most_left(a) >= a.largest_bound * options.collect_requests + soon)
+  if (s == nullptr || max_remaining(a) >= a.largest_bound * options.collect_requests + soon)
     return nullptr;
   const delegation* oldest = nullptr;
   context_.state.for_each_of(a.team, [&](const delegation& d) {
-    if (d.state == delegation_state::live && context_.live.is_staying(d.holder) &&
+    if (d.state == delegation_state::live && context_.live.is_available(d.holder) &&
         (oldest == nullptr || d.epoch < oldest->epoch))
       oldest = &d;
   });
@@ -158,8 +161,8 @@
   // epoch that is gone is a copy as well.
   const bool gone =
       message.from <= context_.state.offset() && context_.state.find(message.from) == nullptr;
-  const bool repeated = gone || credited_.contains({message.from, message.sequence});
-  if (repeated && !context_.mutated(mutation::forget_transfer_ids)) {
+  const bool repeated = gone || credited_transfers_.contains({message.from, message.sequence});
+  if (repeated && !context_.is_injected(mutation::forget_transfer_ids)) {
     context_.send(from, transfer_ack{message.from, message.sequence});
     return;
   }
@@ -169,27 +172,27 @@
     // A grant that this host has not read yet is not over: a copy of the transfer may come again
     // after it was, and would be credited beside what the sender had taken back.
     const bool over = message.to <= context_.state.offset();
-    if (over || context_.mutated(mutation::decline_early))
+    if (over || context_.is_injected(mutation::decline_early))
       context_.send(from, transfer_declined{message.from, message.sequence});
     return;
   }
-  forget_credited();
-  credited_.emplace(message.from, message.sequence);
+  prune_credited_transfers();
+  credited_transfers_.emplace(message.from, message.sequence);
   s->received += message.tokens;
   s->receipts.push_back({message.from, message.sequence, message.tokens});
   context_.send(from, transfer_ack{message.from, message.sequence});
   account& a = *accounts_.at(team);
-  a.round.gained = true;
-  a.round.note_answer(message.from);
+  a.round.tokens_received = true;
+  a.round.mark_answered(message.from);
   advance(now, a);
 }
 
 // Keeps the ids of transfers from epochs that are still in the state.
-void holder_role::forget_credited() {
+void holder_role::prune_credited_transfers() {
   constexpr std::size_t enough = 1024;
-  if (credited_.size() < enough)
+  if (credited_transfers_.size() < enough)
     return;
-  absl::erase_if(credited_, [&](const auto& id) {
+  absl::erase_if(credited_transfers_, [&](const auto& id) {
     return id.first <= context_.state.offset() && context_.state.find(id.first) == nullptr;
   });
 }
@@ -217,12 +220,12 @@
   advance(now, *accounts_.at(d->team));
 }
 
-void holder_role::note_told(account& a, const token_refusal& message) {
-  std::erase_if(a.told, [&](const told_spent& t) {
+void holder_role::record_peer_spend(account& a, const token_refusal& message) {
+  std::erase_if(a.peer_spends, [&](const peer_spend& t) {
     return t.epoch == message.epoch || context_.state.find(t.epoch) == nullptr;
   });
   if (message.epoch != 0)
-    a.told.push_back({message.epoch, message.spent});
+    a.peer_spends.push_back({message.epoch, message.spent});
 }
 
 void holder_role::on_message(time_ms now, name_index from, const token_refusal& message) {
@@ -236,8 +239,8 @@
     if (epoch == 0 && d.holder == from && d.state == delegation_state::live)
       epoch = d.epoch;
   });
-  a.round.note_answer(epoch);
-  note_told(a, message);
+  a.round.mark_answered(epoch);
+  record_peer_spend(a, message);
   advance(now, a);
 }
 
--- a/src/ledger/impl/host_context.cpp
+++ b/src/ledger/impl/host_context.cpp
@@ -23,35 +23,35 @@
 }
 
 record_id host_context::append(time_ms now, record_body body) {
-  const record_id id = draw_id();
+  const record_id id = random_id();
   out.records.push_back({id, body});
-  unread_.push_back({{id, std::move(body)}, now});
+  unconfirmed_.push_back({{id, std::move(body)}, now});
   return id;
 }
 
 record_id host_context::append_once(record_body body) {
-  const record_id id = draw_id();
+  const record_id id = random_id();
   out.records.push_back({id, std::move(body)});
   return id;
 }
 
-bool host_context::note_read_back(const record_id& id) {
-  const auto found = std::find_if(unread_.begin(), unread_.end(),
-                                  [&](const unread_append& u) { return u.record.id == id; });
-  if (found == unread_.end())
+bool host_context::confirm_append(const record_id& id) {
+  const auto found = std::find_if(unconfirmed_.begin(), unconfirmed_.end(),
+                                  [&](const unconfirmed_append& u) { return u.record.id == id; });
+  if (found == unconfirmed_.end())
     return false;
-  unread_.erase(found);
+  unconfirmed_.erase(found);
   return true;
 }
 
-void host_context::forget_append(const record_id& id) {
-  static_cast<void>(note_read_back(id));
+void host_context::cancel_append(const record_id& id) {
+  static_cast<void>(confirm_append(id));
 }
 
 // An append's answer may be lost after it took effect, so only reading the record back ends the
 // repeats; replay drops the copies.
 void host_context::resend_appends(time_ms now) {
-  for (unread_append& u : unread_) {
+  for (unconfirmed_append& u : unconfirmed_) {
     if (now - u.sent < options_.append_resend)
       continue;
     u.sent = now;
@@ -59,7 +59,7 @@
   }
 }
 
-record_id host_context::draw_id() {
+record_id host_context::random_id() {
   const std::uint64_t high = random();
   return {high, random()};
 }
--- a/src/ledger/impl/host_context.hpp
+++ b/src/ledger/impl/host_context.hpp
@@ -23,7 +23,7 @@
                std::uint64_t seed);
 
   [[nodiscard]] const ledger_options& options() const noexcept { return options_; }
-  [[nodiscard]] bool mutated(mutation fault) const noexcept { return options_.fault == fault; }
+  [[nodiscard]] bool is_injected(mutation fault) const noexcept { return options_.fault == fault; }
   [[nodiscard]] const incarnation& self() const noexcept { return self_; }
   [[nodiscard]] name_index self_index() const noexcept { return self_index_; }
   [[nodiscard]] name_index data_centre() const noexcept { return data_centre_; }
@@ -37,10 +37,10 @@
   /// \brief Appends once: for records that a newer one will supersede.
   record_id append_once(record_body body);
   /// \returns whether the record is one of ours that had not been read back.
-  bool note_read_back(const record_id& id);
-  void forget_append(const record_id& id);
+  bool confirm_append(const record_id& id);
+  void cancel_append(const record_id& id);
   void resend_appends(time_ms now);
-  [[nodiscard]] std::size_t unread_appends() const noexcept { return unread_.size(); }
+  [[nodiscard]] std::size_t unconfirmed_appends() const noexcept { return unconfirmed_.size(); }
 
   ledger_state state;
   live_hosts live;
@@ -49,18 +49,18 @@
   random_source random;
 
  private:
-  struct unread_append {
+  struct unconfirmed_append {
     ledger_record record;
     time_ms sent;
   };
 
-  [[nodiscard]] record_id draw_id();
+  [[nodiscard]] record_id random_id();
 
   ledger_options options_;
   incarnation self_;
   name_index self_index_;
   name_index data_centre_;
-  std::vector<unread_append> unread_;
+  std::vector<unconfirmed_append> unconfirmed_;
 };
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/ledger_checkpoint.cpp
+++ b/src/ledger/impl/ledger_checkpoint.cpp
@@ -185,7 +185,7 @@
 }
 
 void ledger_state::clear_team(name_index team) {
-  keep_image(team);
+  save_image(team);
   for (epoch_number epoch = teams_[team].first_epoch; epoch != 0;) {
     const auto found = delegations_.find(epoch);
     epoch = found->second.next_of_team;
@@ -195,7 +195,7 @@
 }
 
 void ledger_state::finish_restore() {
-  const ledger_restore done = *std::exchange(restoring_, std::nullopt);
+  const restore_progress done = *std::exchange(restoring_, std::nullopt);
   for (name_index team = 0; team < teams_.size(); ++team)
     if (team >= done.given.size() || !done.given[team])
       clear_team(team);
--- a/src/ledger/impl/ledger_cut.cpp
+++ b/src/ledger/impl/ledger_cut.cpp
@@ -49,7 +49,7 @@
 // Called before each change of a team, so that a part read later still shows the team as it was at
 // the cut. A part with some rows older and some newer than a record would restore to a state that
 // no replay gives: a transfer credited but not debited, or a grant out of a pool that still has it.
-void ledger_state::keep_image(name_index team) {
+void ledger_state::save_image(name_index team) {
   if (fault_ == mutation::cut_without_images)
     return;
   for (auto& [number, cut] : cuts_)
--- a/src/ledger/impl/ledger_cut.hpp
+++ b/src/ledger/impl/ledger_cut.hpp
@@ -29,7 +29,7 @@
 };
 
 /// \brief What a state that is being replaced part by part has been given so far.
-struct ledger_restore {
+struct restore_progress {
   log_offset offset{};
   std::uint64_t digest{};
   std::vector<bool> given; ///< by team
--- a/src/ledger/impl/ledger_replay.cpp
+++ b/src/ledger/impl/ledger_replay.cpp
@@ -10,7 +10,7 @@
 
 using enum record_verdict;
 
-void keep_first_void(record_verdict& all, record_verdict one) {
+void keep_first_rejection(record_verdict& all, record_verdict one) {
   if (all == applied)
     all = one;
 }
@@ -22,7 +22,7 @@
 record_verdict ledger_state::apply(log_offset offset, const record_id& id, const grant& body) {
   if (body.basis + repeat_window_ < offset && fault_ != mutation::ignore_basis)
     return outdated;
-  if (!note_id(offset, id))
+  if (!remember_id(offset, id))
     return repeated;
   const name_index team = intern_team(body.team);
   touch(team);
@@ -51,7 +51,7 @@
   d.granted = fault_ == mutation::grant_above_pool ? body.tokens : std::min(body.tokens, pool);
   d.next_of_team = teams_[team].first_epoch;
   teams_[team].first_epoch = offset;
-  put_back(d);
+  add_to_totals(d);
   delegations_.emplace(offset, std::move(d));
   return applied;
 }
@@ -65,16 +65,16 @@
   if (hosts_[d->holder] != body.holder)
     return wrong_holder;
   const token_count pool = totals(team).pool();
-  take_out(*d);
+  subtract_from_totals(*d);
   d->granted += fault_ == mutation::grant_above_pool ? body.tokens : std::min(body.tokens, pool);
-  put_back(*d);
+  add_to_totals(*d);
   return applied;
 }
 
 record_verdict ledger_state::apply(log_offset, const record_id&, const report& body) {
   record_verdict all = applied;
   for (const epoch_report& item : body.epochs)
-    keep_first_void(all, apply_report(item));
+    keep_first_rejection(all, apply_report(item));
   return all;
 }
 
@@ -95,7 +95,7 @@
   const token_count used = item.spent - d->spent + returned - d->returned;
   if (shrinks || used + item.lost > d->remainder())
     return out_of_range;
-  take_out(*d);
+  subtract_from_totals(*d);
   d->version = item.version;
   d->spent = item.spent;
   d->returned = returned;
@@ -103,8 +103,8 @@
   d->sent = item.sent;
   if (item.closing)
     close(*d, item);
-  put_back(*d);
-  drop_if_over(item.epoch);
+  add_to_totals(*d);
+  erase_if_finished(item.epoch);
   return applied;
 }
 
@@ -117,14 +117,14 @@
       continue;
     if (from->has_moved(receipt.sequence) || from->remainder() < receipt.tokens)
       continue;
-    take_out(*from);
+    subtract_from_totals(*from);
     from->moved += receipt.tokens;
     from->note_moved(receipt.sequence);
-    put_back(*from);
-    take_out(to);
+    add_to_totals(*from);
+    subtract_from_totals(to);
     to.received += receipt.tokens;
-    put_back(to);
-    drop_if_over(receipt.from);
+    add_to_totals(to);
+    erase_if_finished(receipt.from);
   }
 }
 
@@ -143,7 +143,7 @@
 record_verdict ledger_state::apply(log_offset, const record_id&, const reclaim_batch& body) {
   record_verdict all = applied;
   for (const reclaim& item : body.epochs)
-    keep_first_void(all, apply_reclaim(item));
+    keep_first_rejection(all, apply_reclaim(item));
   return all;
 }
 
@@ -164,13 +164,13 @@
       d->state != delegation_state::live && fault_ != mutation::reclaim_released;
   const token_count released = may_be_released ? d->returned : 0;
   const token_count unopened = std::max<token_count>(d->granted - item.opened - released, 0);
-  take_out(*d);
+  subtract_from_totals(*d);
   d->gone += std::min(unopened, d->remainder());
   d->lost = 0;
   d->reclaim_applied = true;
   d->state = delegation_state::reclaimed;
-  put_back(*d);
-  drop_if_over(item.epoch);
+  add_to_totals(*d);
+  erase_if_finished(item.epoch);
   return applied;
 }
 
@@ -180,11 +180,11 @@
     return unknown_epoch;
   if (d->state != delegation_state::live)
     return not_live;
-  take_out(*d);
+  subtract_from_totals(*d);
   d->lost = 0;
   d->state = delegation_state::abandoned;
-  put_back(*d);
-  drop_if_over(body.epoch);
+  add_to_totals(*d);
+  erase_if_finished(body.epoch);
   return applied;
 }
 
@@ -206,7 +206,7 @@
 record_verdict ledger_state::apply(log_offset offset, const record_id& id, const release& body) {
   if (body.basis + repeat_window_ < offset && fault_ != mutation::ignore_basis)
     return outdated;
-  if (!note_id(offset, id))
+  if (!remember_id(offset, id))
     return repeated;
   const name_index team = intern_team(body.team);
   touch(team);
@@ -221,10 +221,10 @@
     return not_live;
   if (body.of != d->remainder())
     return changed;
-  take_out(*d);
+  subtract_from_totals(*d);
   d->returned += body.tokens;
-  put_back(*d);
-  drop_if_over(body.epoch);
+  add_to_totals(*d);
+  erase_if_finished(body.epoch);
   return applied;
 }
 
--- a/src/ledger/impl/ledger_state.cpp
+++ b/src/ledger/impl/ledger_state.cpp
@@ -10,7 +10,7 @@
 void ledger_state::on_contract(log_offset offset, const team_id& team, token_count bought) {
   offset_ = std::max(offset_, offset);
   const name_index index = intern_team(team);
-  keep_image(index);
+  save_image(index);
   teams_[index].contract = std::max<token_count>(bought, 0);
   touched_.assign(1, index);
 }
@@ -21,7 +21,7 @@
     return record_verdict::repeated;
   if (!cuts_.empty())
     for (const name_index team : teams_of(record))
-      keep_image(team);
+      save_image(team);
   offset_ = offset;
   forget_old_ids(offset);
   return std::visit([&](const auto& body) { return apply(offset, record.id, body); }, record.body);
@@ -89,16 +89,16 @@
     touched_.push_back(team);
 }
 
-// A change of an epoch is bracketed by take_out and put_back, so that a team's sums cannot drift
-// from its epochs whatever the change is.
-void ledger_state::take_out(const delegation& d) {
+// A change of an epoch is bracketed by subtract_from_totals and add_to_totals, so that a team's
+// sums cannot drift from its epochs whatever the change is.
+void ledger_state::subtract_from_totals(const delegation& d) {
   team_row& row = teams_[d.team];
   row.outstanding -= d.outstanding();
   row.written_off -= d.written_off();
   row.spent -= d.spent;
 }
 
-void ledger_state::put_back(const delegation& d) {
+void ledger_state::add_to_totals(const delegation& d) {
   team_row& row = teams_[d.team];
   row.outstanding += d.outstanding();
   row.written_off += d.written_off();
@@ -107,7 +107,7 @@
 }
 
 // What an ended epoch spent stays in the team's sum; only the epoch's own entry goes.
-void ledger_state::drop_if_over(epoch_number epoch) {
+void ledger_state::erase_if_finished(epoch_number epoch) {
   const auto found = delegations_.find(epoch);
   const delegation& d = found->second;
   if (d.state == delegation_state::live || d.remainder() != 0)
@@ -126,7 +126,7 @@
 
 // An append whose answer was lost is repeated under the same id, so a grant may stand in the log
 // twice. Its second copy would delegate the tokens twice to a holder that asked once.
-bool ledger_state::note_id(log_offset offset, const record_id& id) {
+bool ledger_state::remember_id(log_offset offset, const record_id& id) {
   if (!recent_ids_.insert(id).second)
     return fault_ == mutation::forget_record_ids;
   recent_.push_back({offset, id});
--- a/src/ledger/impl/ledger_state.hpp
+++ b/src/ledger/impl/ledger_state.hpp
@@ -137,19 +137,19 @@
   [[nodiscard]] std::uint64_t epoch_digest(const delegation& d) const;
   [[nodiscard]] ledger_cut::team_image image_of(name_index team) const;
   [[nodiscard]] std::vector<name_index> teams_of(const ledger_record& record) const;
-  void keep_image(name_index team);
+  void save_image(name_index team);
   void clear_team(name_index team);
   void add_delegation(const delegation& given, const std::vector<name_index>& teams,
                       const std::vector<name_index>& hosts,
                       const std::vector<name_index>& data_centres);
 
   [[nodiscard]] delegation* find_mutable(epoch_number epoch);
-  void take_out(const delegation& d);
-  void put_back(const delegation& d);
-  void drop_if_over(epoch_number epoch);
+  void subtract_from_totals(const delegation& d);
+  void add_to_totals(const delegation& d);
+  void erase_if_finished(epoch_number epoch);
   void touch(name_index team);
 
-  [[nodiscard]] bool note_id(log_offset offset, const record_id& id);
+  [[nodiscard]] bool remember_id(log_offset offset, const record_id& id);
   void forget_old_ids(log_offset offset);
 
   log_offset repeat_window_;
@@ -166,7 +166,7 @@
   std::vector<name_index> touched_;
   std::map<cut_number, ledger_cut> cuts_;
   cut_number last_cut_{0};
-  std::optional<ledger_restore> restoring_;
+  std::optional<restore_progress> restoring_;
 };
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/live_hosts.cpp
+++ b/src/ledger/impl/live_hosts.cpp
@@ -30,27 +30,27 @@
   data_centre_count_ = data_centres.size();
   for (std::size_t host = 0; host < before.size(); ++host)
     if (before[host].live && !entries_[host].live)
-      entries_[host].missed_since = now;
+      entries_[host].absent_since = now;
 }
 
 bool live_hosts::is_live(name_index host) const noexcept {
   return host < entries_.size() && entries_[host].live;
 }
 
-bool live_hosts::is_staying(name_index host) const noexcept {
+bool live_hosts::is_available(name_index host) const noexcept {
   return is_live(host) && !entries_[host].leaving;
 }
 
-time_ms live_hosts::missed_since(name_index host) const noexcept {
-  return host < entries_.size() ? entries_[host].missed_since : first_assigned_;
+time_ms live_hosts::absent_since(name_index host) const noexcept {
+  return host < entries_.size() ? entries_[host].absent_since : first_assigned_;
 }
 
 name_index live_hosts::data_centre_of(name_index host) const noexcept {
   return is_live(host) ? entries_[host].data_centre : no_name;
 }
 
-name_index live_hosts::place(std::uint64_t key, name_index data_centre,
-                             name_index without) const noexcept {
+name_index live_hosts::rendezvous_host(std::uint64_t key, name_index data_centre,
+                                       name_index without) const noexcept {
   name_index best = no_name;
   std::uint64_t best_weight = 0;
   for (const candidate& c : candidates_) {
--- a/src/ledger/impl/live_hosts.hpp
+++ b/src/ledger/impl/live_hosts.hpp
@@ -22,23 +22,23 @@
 
   [[nodiscard]] bool is_live(name_index host) const noexcept;
   /// \returns whether the host is live and may be given something new.
-  [[nodiscard]] bool is_staying(name_index host) const noexcept;
+  [[nodiscard]] bool is_available(name_index host) const noexcept;
   /// \returns since when the host has been missed; the first list's time if it was never listed.
-  [[nodiscard]] time_ms missed_since(name_index host) const noexcept;
+  [[nodiscard]] time_ms absent_since(name_index host) const noexcept;
   /// \returns the data centre of a live host, else `no_name`.
   [[nodiscard]] name_index data_centre_of(name_index host) const noexcept;
   [[nodiscard]] std::size_t data_centre_count() const noexcept { return data_centre_count_; }
 
   /// \returns the rendezvous place of `key` among staying hosts other than `without`, in one data
   /// centre or, for `no_name`, anywhere; `no_name` if there is none.
-  [[nodiscard]] name_index place(std::uint64_t key, name_index data_centre,
-                                 name_index without) const noexcept;
+  [[nodiscard]] name_index rendezvous_host(std::uint64_t key, name_index data_centre,
+                                           name_index without) const noexcept;
 
  private:
   struct entry {
     bool live{};
     bool leaving{};
-    time_ms missed_since;
+    time_ms absent_since;
     name_index data_centre{no_name};
   };
   struct candidate {
--- a/src/ledger/impl/options.hpp
+++ b/src/ledger/impl/options.hpp
@@ -33,22 +33,22 @@
 struct ledger_options {
   log_offset repeat_window{32768}; ///< offsets within which a repeated grant is recognised
 
-  time_ms reserve_wait{2000};     ///< a pending reservation is decided within this span
-  time_ms message_resend{150};    ///< between repeats of an unanswered message
-  time_ms append_resend{2000};    ///< between repeats of a record that was not read back
-  time_ms report_interval{10000}; ///< between reports of spent tokens
-  time_ms idle_close{900000};     ///< a slice unused for this long is returned
-  time_ms probe_after{30000};     ///< age at which an open reservation is asked about
-  time_ms orphan_wait{120000};    ///< from an entry host's death to writing off its reservations
-  time_ms settled_kept{120000};   ///< how long a settled key is remembered
-  time_ms settle_give_up{600000}; ///< how long a settle is repeated to a lost holder
-  time_ms abandon_wait{60000};    ///< both holder and witness lost for this long
-  time_ms suspect_wait{0};        ///< from a holder's death to sealing its epochs
+  time_ms reserve_wait{2000};        ///< a pending reservation is decided within this span
+  time_ms message_resend{150};       ///< between repeats of an unanswered message
+  time_ms append_resend{2000};       ///< between repeats of a record that was not read back
+  time_ms report_interval{10000};    ///< between reports of spent tokens
+  time_ms idle_close{900000};        ///< a slice unused for this long is returned
+  time_ms probe_after{30000};        ///< age at which an open reservation is asked about
+  time_ms orphan_wait{120000};       ///< from an entry host's death to writing off its reservations
+  time_ms settled_retention{120000}; ///< how long a settled key is remembered
+  time_ms settle_give_up{600000};    ///< how long a settle is repeated to a lost holder
+  time_ms abandon_wait{60000};       ///< both holder and witness lost for this long
+  time_ms suspect_wait{0};           ///< from a holder's death to sealing its epochs
 
-  token_count least_slice{4096};      ///< smallest slice asked for while the pool is large
+  token_count min_slice{4096};        ///< smallest slice asked for while the pool is large
   std::int64_t first_slice_share{64}; ///< a first slice is at most pool / this
   time_ms slice_span{5400000};        ///< demand that a slice should cover: an hour's cut and more
-  time_ms settling_span{120000};      ///< until rates of demand are trusted
+  time_ms rate_warmup{120000};        ///< until rates of demand are trusted
   time_ms chunk_span{2000};           ///< demand that a chunk should cover
   std::int64_t chunk_share{1024};     ///< an opened chunk is at most bought / this, or one request
   token_count collect_requests{8};    ///< a budget that covers this many more is held by one host
--- a/src/ledger/impl/reservation_table.cpp
+++ b/src/ledger/impl/reservation_table.cpp
@@ -12,18 +12,19 @@
 
 reservation& reservation_table::add(const reservation_key& key, reservation made, time_ms due) {
   reservation& added = reservations_.insert_or_assign(key, std::move(made)).first->second;
-  look_again(key, added, due);
+  schedule_check(key, added, due);
   return added;
 }
 
-void reservation_table::look_again(const reservation_key& key, reservation& r, time_ms due) {
-  r.look_at = due;
-  std::deque<due_key>& queue = soon_.empty() || soon_.back().due <= due ? soon_ : late_;
+void reservation_table::schedule_check(const reservation_key& key, reservation& r, time_ms due) {
+  r.next_check = due;
+  std::deque<due_key>& queue =
+      first_queue_.empty() || first_queue_.back().due <= due ? first_queue_ : second_queue_;
   queue.push_back({due, key});
 }
 
 std::optional<reservation_key> reservation_table::next_due(time_ms now) {
-  for (std::deque<due_key>* const queue : {&soon_, &late_}) {
+  for (std::deque<due_key>* const queue : {&first_queue_, &second_queue_}) {
     if (queue->empty() || queue->front().due > now)
       continue;
     reservation_key key = std::move(queue->front().key);
--- a/src/ledger/impl/reservation_table.hpp
+++ b/src/ledger/impl/reservation_table.hpp
@@ -22,8 +22,8 @@
   token_count bound{};
   reservation_state state{};
   token_count bill{};
-  bool disowned{}; ///< an attempt that may have used tokens has gone without a bill
-  time_ms look_at; ///< when it is to be looked at again; earlier entries of the queue are stale
+  bool disowned{};    ///< an attempt that may have used tokens has gone without a bill
+  time_ms next_check; ///< when it is to be looked at again; earlier entries of the queue are stale
   std::vector<attempt_id> attempts;
 };
 
@@ -45,7 +45,7 @@
   reservation& add(const reservation_key& key, reservation made, time_ms due);
   void erase(const reservation_key& key) { reservations_.erase(key); }
   /// \brief Asks for the key to be handed out by `next_due` from `due` on.
-  void look_again(const reservation_key& key, reservation& r, time_ms due);
+  void schedule_check(const reservation_key& key, reservation& r, time_ms due);
   /// \returns a key that is due, or an empty one.
   [[nodiscard]] std::optional<reservation_key> next_due(time_ms now);
   [[nodiscard]] std::size_t size() const noexcept { return reservations_.size(); }
@@ -58,8 +58,8 @@
 
   absl::flat_hash_map<reservation_key, reservation> reservations_;
   // One queue a span of waiting, each ordered by time because spans are constant.
-  std::deque<due_key> soon_;
-  std::deque<due_key> late_;
+  std::deque<due_key> first_queue_;
+  std::deque<due_key> second_queue_;
 };
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/slice.cpp
+++ b/src/ledger/impl/slice.cpp
@@ -4,12 +4,13 @@
 
 namespace sedgechute::ledger {
 
-bool asking_round::complete() const noexcept {
-  return std::all_of(holders.begin(), holders.end(), [](const asked& a) { return a.answered; });
+bool token_request_round::complete() const noexcept {
+  return std::all_of(holders.begin(), holders.end(),
+                     [](const queried_holder& a) { return a.answered; });
 }
 
-void asking_round::note_answer(epoch_number epoch) {
-  for (asked& a : holders)
+void token_request_round::mark_answered(epoch_number epoch) {
+  for (queried_holder& a : holders)
     a.answered |= a.epoch == epoch;
 }
 
@@ -52,7 +53,7 @@
 }
 
 bool account::empty() const noexcept {
-  return slices.empty() && waiting.empty() && wants.empty() && !grant_sent;
+  return slices.empty() && waiting.empty() && token_requests.empty() && !grant_sent;
 }
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/slice.hpp
+++ b/src/ledger/impl/slice.hpp
@@ -64,7 +64,7 @@
 };
 
 /// \brief Another holder that wants tokens.
-struct token_want {
+struct pending_token_request {
   name_index from{no_name};
   std::uint32_t round{};
   epoch_number to{};
@@ -73,23 +73,23 @@
 };
 
 /// \brief One round of asking every other holder of a team for tokens.
-struct asking_round {
-  struct asked {
+struct token_request_round {
+  struct queried_holder {
     epoch_number epoch{};
     bool answered{};
   };
   std::uint32_t number{};
   time_ms started;
   time_ms sent;
-  std::vector<asked> holders;
-  bool gained{}; ///< someone sent tokens, so asking again may bring more
+  std::vector<queried_holder> holders;
+  bool tokens_received{}; ///< someone sent tokens, so asking again may bring more
 
   [[nodiscard]] bool complete() const noexcept;
-  void note_answer(epoch_number epoch);
+  void mark_answered(epoch_number epoch);
 };
 
 /// \brief What another holder said it has spent; sums only grow, so it never becomes untrue.
-struct told_spent {
+struct peer_spend {
   epoch_number epoch{};
   token_count spent{};
 };
@@ -106,15 +106,15 @@
   std::uint64_t team_hash{};
   std::vector<slice> slices; ///< at most one live
   std::deque<waiting_attempt> waiting;
-  std::vector<token_want> wants;
+  std::vector<pending_token_request> token_requests;
   std::optional<record_id> grant_sent;
   log_offset grant_basis{};
-  time_ms grant_since;
+  time_ms grant_sent_at;
   time_ms last_used;
   token_count largest_bound{}; ///< asked for so far
   bool invited{};              ///< asked to hold a slice
-  asking_round round;
-  std::vector<told_spent> told;
+  token_request_round round;
+  std::vector<peer_spend> peer_spends;
 
   token_count reserved_since_tick{};
   token_count spent_since_tick{};
--- a/src/ledger/impl/spend_history.cpp
+++ b/src/ledger/impl/spend_history.cpp
@@ -8,7 +8,7 @@
 
 } // namespace
 
-void spend_history::note(time_ms now, name_index team, token_count spent) {
+void spend_history::record_spent(time_ms now, name_index team, token_count spent) {
   if (spent == 0)
     return;
   const auto [place, added] = teams_.try_emplace(team);
--- a/src/ledger/impl/spend_history.hpp
+++ b/src/ledger/impl/spend_history.hpp
@@ -12,7 +12,7 @@
 class spend_history {
  public:
   /// \brief Notes the team's sum of spent tokens.
-  void note(time_ms now, name_index team, token_count spent);
+  void record_spent(time_ms now, name_index team, token_count spent);
   /// \returns when `left` tokens are spent at the rate of the last minutes; none if nothing was.
   [[nodiscard]] std::optional<time_ms> exhausted_in(time_ms now, name_index team,
                                                     token_count left) const;
--- a/src/ledger/impl/witness_role.cpp
+++ b/src/ledger/impl/witness_role.cpp
@@ -12,12 +12,12 @@
   if (known != epochs_.end() && message.term < known->second.term)
     return false;
   if (known != epochs_.end() && message.term == known->second.term && known->second.sealed &&
-      !context_.mutated(mutation::unseal))
+      !context_.is_injected(mutation::unseal))
     return false;
   const delegation* const d = context_.state.find(message.epoch);
   if (d == nullptr)
     return message.epoch > context_.state.offset();
-  if (context_.mutated(mutation::unseal))
+  if (context_.is_injected(mutation::unseal))
     return true;
   if (d->state != delegation_state::live || message.term < d->term)
     return false;
@@ -36,7 +36,7 @@
   context_.send(from, chunk_opened{message.epoch, message.term, epoch.opened});
 }
 
-void witness_role::take_up(const delegation& d) {
+void witness_role::start_watching(const delegation& d) {
   const auto [place, added] = epochs_.try_emplace(d.epoch);
   watched_epoch& epoch = place->second;
   if (added || epoch.term < d.term)
@@ -45,11 +45,11 @@
     epoch.opened = std::max(epoch.opened, d.opened);
 }
 
-std::optional<countersigned_part> witness_role::countersigned(epoch_number epoch) const {
+std::optional<countersigned_amount> witness_role::countersigned(epoch_number epoch) const {
   const auto found = epochs_.find(epoch);
   if (found == epochs_.end())
     return std::nullopt;
-  return countersigned_part{found->second.term, found->second.opened};
+  return countersigned_amount{found->second.term, found->second.opened};
 }
 
 void witness_role::sync(name_index team) {
@@ -59,9 +59,9 @@
     // The holder may have read the record that names this host before this host has. What was
     // countersigned meanwhile must not be forgotten when an older record of the epoch is read.
     const bool ahead = known != epochs_.end() && known->second.term > d.term &&
-                       !context_.mutated(mutation::forget_early_opening);
+                       !context_.is_injected(mutation::forget_early_opening);
     if (mine && d.state == delegation_state::live)
-      take_up(d);
+      start_watching(d);
     else if (known != epochs_.end() && !ahead &&
              (!mine || d.reclaim_applied || d.state == delegation_state::closed))
       epochs_.erase(known);
@@ -85,7 +85,7 @@
       continue;
     const bool lost =
         !context_.live.is_live(d->holder) &&
-        now - context_.live.missed_since(d->holder) >= context_.options().suspect_wait;
+        now - context_.live.absent_since(d->holder) >= context_.options().suspect_wait;
     if (epoch.sealed || !lost || epoch.term != d->term || d->witness != context_.self_index())
       continue;
     epoch.sealed = true;
--- a/src/ledger/impl/witness_role.hpp
+++ b/src/ledger/impl/witness_role.hpp
@@ -9,7 +9,7 @@
 namespace sedgechute::ledger {
 
 /// \brief What a witness has countersigned of one epoch.
-struct countersigned_part {
+struct countersigned_amount {
   witness_term term{};
   token_count opened{};
 };
@@ -25,7 +25,7 @@
   /// \brief Seals the epochs whose holder is not live.
   void tick(time_ms now);
 
-  [[nodiscard]] std::optional<countersigned_part> countersigned(epoch_number epoch) const;
+  [[nodiscard]] std::optional<countersigned_amount> countersigned(epoch_number epoch) const;
   [[nodiscard]] std::size_t watched() const noexcept { return epochs_.size(); }
 
  private:
@@ -36,7 +36,7 @@
   };
 
   [[nodiscard]] bool may_countersign(const open_chunk& message) const;
-  void take_up(const delegation& d);
+  void start_watching(const delegation& d);
 
   host_context& context_;
   // Ordered, so that a run replays: hash tables are walked in another order in each process.
--- a/tests/ledger/fault_schedule_test.cpp
+++ b/tests/ledger/fault_schedule_test.cpp
@@ -22,14 +22,14 @@
 
 model_options small_fleet() {
   model_options options;
-  options.ledger.least_slice = 300;
+  options.ledger.min_slice = 300;
   options.ledger.chunk_share = 8;
   options.ledger.repeat_window = 16;
   options.ledger.busy_requests = 1;
   options.ledger.report_interval = time_ms{500};
   options.ledger.orphan_wait = time_ms{3000};
   options.ledger.probe_after = time_ms{1000};
-  options.ledger.settled_kept = time_ms{60000};
+  options.ledger.settled_retention = time_ms{60000};
   options.ledger.idle_close = time_ms{5000};
   options.ledger.abandon_wait = time_ms{2000};
   return options;
