--- a/src/prepaid/impl/account.cpp
+++ b/src/prepaid/impl/account.cpp
@@ -13,11 +13,11 @@
 constexpr char key_separator = '\n';
 constexpr char value_separator = ' ';
 constexpr std::size_t value_count = 11;
-constexpr std::size_t legacy_value_count = 4; // of a host of an earlier release
+constexpr std::size_t legacy_value_count = 4; // as written by an earlier release
 
-// Sums of accounts must not wrap: a few numbers near the end of 64 bits would sum up to little, and
-// tokens that are granted would be granted again.
-constexpr std::uint64_t max_plausible = std::uint64_t{1} << 50U; // a million budgets of a day
+// Sums of accounts must not overflow: a few numbers near the limit of 64 bits would wrap to a small
+// sum, and tokens that are already granted would be granted again.
+constexpr std::uint64_t max_plausible = std::uint64_t{1} << 50U; // a million daily budgets
 
 constexpr bool is_plausible(std::uint64_t number) noexcept {
   return number <= max_plausible;
@@ -33,9 +33,9 @@
   return static_cast<double>(pace) * static_cast<double>(span.count()) / ms_per_second;
 }
 
-/// \returns the time in which so many tokens are used, a millisecond more where it is not whole
+/// \returns the time after which `tokens` are used at `pace`, rounded up to the next millisecond
 time_ms time_to_use(double tokens, std::uint64_t pace) noexcept {
-  constexpr double longest_ms = 1e9; // a time in milliseconds, however slow the pace
+  constexpr double longest_ms = 1e9; // keeps the result in range, however small the pace
   const double span = tokens * ms_per_second / static_cast<double>(pace);
   return time_ms{static_cast<std::int64_t>(std::min(span, longest_ms)) + 1};
 }
@@ -128,7 +128,7 @@
                 .outage_pace = numbers[6],
                 .outage_after = to_time(numbers[7]),
                 .written = {to_time(numbers[8]), to_time(numbers[9]), numbers[10] != 0}};
-  // A host that promised nothing may have used all that it was granted.
+  // An account without a promise allows the use of all granted tokens.
   if (read == legacy_value_count)
     known.burst = known.granted;
   return account_record{owner->team, owner->host, known};
--- a/src/prepaid/impl/account.hpp
+++ b/src/prepaid/impl/account.hpp
@@ -9,34 +9,35 @@
 
 namespace sedgechute {
 
-/// \brief What one host has of one team's budget. Sums over the whole day, all its lives together.
+/// \brief One host's account of one team's budget: totals of the day over all incarnations of the
+/// host.
 ///
-/// It is also a promise that holds until the next record: so long after `written` the host has used
-/// at most what `max_used` says.
+/// An account also promises an upper bound on use until the host's next record: a given time after
+/// `written` the host has used at most `max_used` tokens.
 struct account {
-  std::uint64_t incarnation{}; ///< life of the host that wrote this
-  std::uint64_t granted{};     ///< tokens that the host may use or has used
-  std::uint64_t used{};        ///< of these: spent, set aside for open requests, or written off
-  std::uint64_t rate{};        ///< tokens a second that the host uses lately
-  std::uint64_t burst{};       ///< tokens that it may use beyond `used` at once
-  std::uint64_t pace{};        ///< tokens a second that it may use beyond these
-  std::uint64_t outage_pace{}; ///< the same, from `later` on
-  time_ms outage_after{};      ///< after `written`
-  clock_reading written;       ///< by the clocks of the host's machine
+  std::uint64_t incarnation{}; ///< of the host that wrote this
+  std::uint64_t granted{};     ///< tokens granted to the host, used or not
+  std::uint64_t used{};        ///< of these: spent, reserved for open requests, or written off
+  std::uint64_t rate{};        ///< recent use, in tokens per second
+  std::uint64_t burst{};       ///< promise: tokens that may be used at once, beyond `used`
+  std::uint64_t pace{};        ///< promise: further tokens per second until `outage_after`
+  std::uint64_t outage_pace{}; ///< promise: further tokens per second after `outage_after`
+  time_ms outage_after{};      ///< time after `written` at which `outage_pace` replaces `pace`
+  clock_reading written;       ///< when it was written, by the clocks of the host's machine
 
   bool operator==(const account&) const = default;
 
-  /// \returns tokens granted that the host had not used when it wrote this.
+  /// \returns granted tokens that were unused when the account was written
   [[nodiscard]] constexpr std::uint64_t slack() const noexcept {
     return granted > used ? granted - used : 0;
   }
 };
 
-/// \returns the most that the host may have used so long after it wrote the account
+/// \returns the most tokens that the host may have used `since_written` after it wrote the account
 [[nodiscard]] std::uint64_t max_used(const account& of, time_ms since_written) noexcept;
 
-/// \returns how long after writing the account the host may have used so much; nothing where it may
-///   not before its next record
+/// \returns the earliest time after writing the account at which the host may have used `tokens`;
+/// nothing if the account never allows that
 [[nodiscard]] std::optional<time_ms> time_until_used(const account& of,
                                                      std::uint64_t tokens) noexcept;
 
@@ -48,19 +49,18 @@
   bool operator==(const account_record&) const = default;
 };
 
-/// \returns the key of the record: team and host, neither of which may hold a newline
+/// \returns the key of a host's account with a team; neither name may contain a newline
 [[nodiscard]] std::string account_key(std::string_view team, std::string_view host);
 struct account_owner {
   std::string team;
   std::string host;
 };
 
-/// \returns nothing when the key was not written by `account_key`
+/// \returns team and host of a key, or nothing if `account_key` did not write it
 [[nodiscard]] std::optional<account_owner> read_account_key(std::string_view key);
 [[nodiscard]] std::string encode_account(const account& value);
-/// \returns nothing when key or value were not written by the functions above, or a number is
-/// beyond
-///   any that a host writes
+/// \returns the decoded record, or nothing if the key or the value is malformed or a number exceeds
+/// any that a host writes
 [[nodiscard]] std::optional<account_record> decode_account(std::string_view key,
                                                            std::string_view value);
 
--- a/src/prepaid/impl/account_log.hpp
+++ b/src/prepaid/impl/account_log.hpp
@@ -9,17 +9,17 @@
 
 namespace sedgechute {
 
-/// \brief Accounts read from the log, in its order.
+/// \brief Account records read from the log, in log order.
 struct account_page {
   std::vector<account_record> records;
-  std::uint64_t end{};      ///< offset behind the last record of the log
-  bool history_lost{false}; ///< records before were dropped; read the newest of each key instead
-  std::vector<entry_fault> faults{}; ///< records that are no accounts, and accounts dropped
-  bool from_start{false};            ///< `retained` only: no record has ever been deleted
+  std::uint64_t end{};      ///< offset after the last record of the log
+  bool history_lost{false}; ///< earlier records were deleted; read the newest of each key instead
+  std::vector<entry_fault> faults{}; ///< records that are not valid accounts, and deleted accounts
+  bool from_start{false};            ///< set by `retained` only: no record was ever deleted
 };
 
-/// \brief One partition of the log that holds the accounts. Calls throw `log_unavailable` when it
-/// is not known whether they were carried out.
+/// \brief One partition of the log of accounts. Functions throw `log_unavailable` when it is
+/// unknown whether the call took effect.
 class account_log {
  public:
   account_log() = default;
@@ -27,14 +27,14 @@
   account_log& operator=(const account_log&) = delete;
   virtual ~account_log() = default;
 
-  /// \returns the newest record of each key; all records from `end` on may be missing
+  /// \returns the newest record of each key; records at or after `end` may be missing
   [[nodiscard]] virtual account_page newest() = 0;
-  /// \returns all records that the log still keeps, those that were superseded too
+  /// \returns all records that the log retains, including superseded ones
   [[nodiscard]] virtual account_page retained() = 0;
-  /// \returns the records from an offset on
+  /// \returns the records at and after an offset
   [[nodiscard]] virtual account_page read(std::uint64_t from) = 0;
-  /// \brief Appends all records, or none if the log does not end at `end`.
-  /// \returns the new end; nothing when the log was longer
+  /// \brief Appends all records if the log ends at `end`, else none.
+  /// \returns the new end, or nothing if the log was longer
   [[nodiscard]] virtual std::optional<std::uint64_t>
   append_at(std::uint64_t end, const std::vector<account_record>& records) = 0;
 };
--- a/src/prepaid/impl/budget_manager.cpp
+++ b/src/prepaid/impl/budget_manager.cpp
@@ -117,9 +117,9 @@
   return partition_of(team).budgets.covered_after(team, bound, time_.now());
 }
 
-// What the log has not granted to anyone comes from the log; what other hosts hold comes from them,
-// also where the log is away or has nothing left to grant. A host that shall not hold a team's
-// tokens asks those that do first: an answer takes some milliseconds, and no record.
+// Ungranted tokens come from the log. Tokens that other hosts hold are borrowed, also when the log
+// is unavailable or has none left to grant. A host that does not hold a team's tokens asks the
+// holders first: a loan takes some milliseconds and no log record.
 reserve_outcome budget_manager::reserve_from_all_sources(const token_demand& demand,
                                                          std::unique_lock<ordered_mutex>& lock) {
   const partition_budgets& budgets = partition_of(demand.team).budgets;
@@ -193,8 +193,8 @@
   }
 }
 
-// What a request borrowed and did not use goes back at once. Kept for the next request of its team
-// it would be missing to all others, and lost when this host loses power.
+// Borrowed tokens that a request did not use are returned at once. Kept for the next request of the
+// team they would be unavailable to all other hosts, and lost if this host lost power.
 void budget_manager::settle(const std::string& team, std::uint64_t bound, std::uint64_t used) {
   bool idle = false;
   {
--- a/src/prepaid/impl/budget_manager.hpp
+++ b/src/prepaid/impl/budget_manager.hpp
@@ -18,34 +18,33 @@
 
 namespace sedgechute {
 
-/// \brief Who keeps the accounts of this host: its life and its name.
+/// \brief Name and incarnation under which a host writes its accounts.
 struct host_identity {
   std::string host;
   std::uint64_t incarnation{};
-  clock_reading started; ///< when this life began
+  clock_reading started; ///< when this incarnation began
 };
 
 /// \brief Tokens that a request needs.
 struct token_demand {
   std::string team;
   std::uint64_t tokens{};
-  std::string request; ///< its id, for the log; may be empty
-  /// Longest wait until what this host promised covers the request, where the log does not answer.
+  std::string request; ///< request id for log lines; may be empty
+  /// Longest wait until this host's promise covers the request while the log does not answer.
   time_ms max_promise_wait{};
 };
 
-/// \brief Takes tokens from teams' budgets for requests, and keeps this host's accounts in the log
-/// on a thread of its own. Thread-safe.
+/// \brief Reserves tokens of team budgets for requests. A background thread synchronizes this
+/// host's accounts with the log. Thread-safe.
 class budget_manager {
  public:
-  /// \brief Gets tokens for a request from the other hosts that are named; returns how many came in
-  /// time.
+  /// \brief Borrows tokens for a request from the given hosts; returns how many arrived in time.
   using borrow_function = std::function<std::uint64_t(const token_demand& demand,
                                                       const std::vector<token_holder>& from)>;
-  /// \brief Gives back to other hosts what they lent of a team's tokens and nobody uses here.
+  /// \brief Returns idle borrowed tokens of a team to the hosts that lent them.
   using return_function = std::function<void(const std::string& team)>;
 
-  /// \param logs  one for each partition; a team's accounts lie in the partition of its name
+  /// \param logs  one per partition; `account_partition` maps a team to its partition
   budget_manager(const host_identity& owner, const prepaid_options& options,
                  std::vector<std::unique_ptr<account_log>> logs, const fleet_clock& time,
                  entry_faults& faults, structured_log& log);
@@ -53,62 +52,64 @@
   budget_manager& operator=(const budget_manager&) = delete;
   ~budget_manager();
 
-  /// \brief Before `start`: where to turn when the log cannot help.
+  /// \brief Sets how tokens are borrowed from and returned to other hosts. Call before `start`.
   void set_loan_functions(borrow_function borrow, return_function return_idle) {
     borrow_ = std::move(borrow);
     return_idle_ = std::move(return_idle);
   }
-  /// \brief Before `start`: for which teams this host shall hold tokens; for all when not set.
+  /// \brief Sets the teams whose tokens this host holds; all teams by default. Call before `start`.
   void set_holder_predicate(const partition_budgets::holder_predicate& holds);
 
-  /// \brief The hosts that hold tokens may be others now.
+  /// \brief Re-evaluates the holder predicate after the set of hosts has changed.
   void on_holders_changed();
 
   void start();
-  /// \brief Hands back what is not in use, as far as the log can be reached, and stops.
+  /// \brief Returns unused tokens to the budgets if the log is reachable, and stops.
   void stop() noexcept;
-  /// \brief The same, for a process that ends soon: does not wait for a log that is away.
-  /// \returns whether the log took everything within `most`
+  /// \brief Like `stop`, for a process about to exit: waits for the log no longer than `most`.
+  /// \returns whether all records were appended within `most`
   [[nodiscard]] bool finish(time_ms most) noexcept;
 
-  /// \brief What each team has paid for today. Teams that are not named have no budget to keep to.
+  /// \brief Sets the tokens that each team has paid for today. Teams that are not listed are not
+  /// limited.
   void set_prepaid(std::map<std::string, std::uint64_t> prepaid);
 
-  /// \brief Sets `bound` tokens aside; asks the log, then other hosts, for more where this host's
-  /// do not cover it.
+  /// \brief Reserves the tokens of a request; requests more from the log and from other hosts if
+  /// this host's do not cover it.
   [[nodiscard]] reserve_outcome reserve(const token_demand& demand);
   [[nodiscard]] reserve_outcome reserve(const std::string& team, std::uint64_t bound) {
     return reserve({.team = team, .tokens = bound});
   }
-  /// \returns how long until this host may serve a request without any other host or the log
+  /// \returns the time until this host's promise covers `bound` tokens without the log or other
+  /// hosts; nothing if it never does
   [[nodiscard]] std::optional<time_ms> covered_after(const std::string& team,
                                                      std::uint64_t bound) const;
   void settle(const std::string& team, std::uint64_t bound, std::uint64_t used);
 
-  /// \brief Gives tokens to another host.
-  /// \returns how many: as many as asked for, or fewer
+  /// \brief Lends tokens to another host.
+  /// \returns the number of tokens lent, at most `tokens`
   [[nodiscard]] std::uint64_t lend(const std::string& team, std::uint64_t tokens);
-  /// \brief Takes tokens that another host gave.
+  /// \brief Credits tokens that another host lent.
   void receive(const std::string& team, std::uint64_t tokens);
-  /// \returns tokens that other hosts lent and that no request uses or waits for
+  /// \returns borrowed tokens that no request uses or waits for
   [[nodiscard]] std::uint64_t idle_loans(const std::string& team) const;
-  /// \brief Gives up tokens that other hosts lent.
-  /// \returns how many: all, or as many as are idle
+  /// \brief Debits borrowed tokens that are about to be returned.
+  /// \returns the number debited, at most the idle ones
   [[nodiscard]] std::uint64_t give_back(const std::string& team, std::uint64_t tokens);
-  /// \brief Takes tokens that this host lent and that were not used.
+  /// \brief Credits tokens that this host lent and that were returned unused.
   void take_back(const std::string& team, std::uint64_t tokens);
 
   /// \returns whether the accounts have been read from the log.
   [[nodiscard]] bool loaded() const;
-  /// \returns whether the last exchange with the log succeeded.
+  /// \returns whether the last synchronization with the log succeeded.
   [[nodiscard]] bool log_reachable() const;
 
   struct team_totals {
     std::uint64_t prepaid{};
     std::uint64_t granted{}; ///< to all hosts
     std::uint64_t used{};    ///< by all hosts, as reported
-    std::uint64_t slack{};   ///< of this host
-    std::uint64_t lent{};    ///< by this host to others, and not given back
+    std::uint64_t slack{};   ///< that this host may use now
+    std::uint64_t lent{};    ///< by this host, and not returned
   };
   [[nodiscard]] std::map<std::string, team_totals> totals() const;
 
@@ -117,20 +118,20 @@
     std::unique_ptr<account_log> log;
     partition_budgets budgets;
     bool loaded{false};
-    bool sync_requested{false};  ///< a request waits for the next exchange with the log
-    time_ms due;                 ///< of the next exchange, when nobody waits
-    time_ms synced_at;           ///< when the last one ended
-    std::uint64_t sync_count{0}; ///< exchanges until now
+    bool sync_requested{false};  ///< a request waits for the next synchronization
+    time_ms due;                 ///< time of the next periodic synchronization
+    time_ms synced_at;           ///< end of the last synchronization
+    std::uint64_t sync_count{0}; ///< completed synchronizations
   };
 
   [[nodiscard]] partition& partition_of(const std::string& team) const;
   [[nodiscard]] std::map<std::string, std::uint64_t> prepaid_of(const partition& part) const;
   [[nodiscard]] time_ms sync_interval(const partition& part) const;
   void request_sync(partition& part);
-  /// \returns the partition to exchange with the log now; null when there is none
+  /// \returns the partition to synchronize now, or null
   [[nodiscard]] partition* due_partition() const;
   void wait_until_due(std::unique_lock<ordered_mutex>& lock);
-  /// \returns whether an exchange with the log is likely to bring an answer soon
+  /// \returns whether a synchronization is likely to complete soon
   [[nodiscard]] bool log_is_responsive() const;
   [[nodiscard]] reserve_outcome reserve_from_all_sources(const token_demand& demand,
                                                          std::unique_lock<ordered_mutex>& lock);
@@ -149,7 +150,7 @@
   void restore_overwritten(partition& part, const account_page& history,
                            const std::vector<entry_fault>& faults);
   void apply_faults(partition& part, const account_page& page, const account_page& history);
-  /// \returns false when the log had grown meanwhile
+  /// \returns false if the log had grown since it was read
   [[nodiscard]] bool append_planned(partition& part, bool leaving);
   void restate_start(partition& part);
   void log_write_offs(const partition& part);
@@ -161,18 +162,18 @@
   entry_faults& faults_;
   structured_log& log_;
   mutable ordered_mutex mutex_{lock_rank::budgets};
-  std::condition_variable_any wake_;   ///< the keeper, when tokens are wanted
-  std::condition_variable_any synced_; ///< requests, after an exchange with the log
+  std::condition_variable_any wake_;   ///< notifies the synchronization thread of new work
+  std::condition_variable_any synced_; ///< notifies waiting requests after a synchronization
   std::vector<std::unique_ptr<partition>> partitions_;
   std::map<std::string, std::uint64_t> prepaid_;
   borrow_function borrow_;
   return_function return_idle_;
   random_source random_;
-  std::optional<time_ms> sync_began_; ///< of the exchange with the log that is under way
+  std::optional<time_ms> sync_began_; ///< start of the synchronization in progress
   bool reachable_{false};
   bool stopping_{false};
   bool ended_{false};
-  bool handed_back_{false}; ///< all partitions took it
+  bool handed_back_{false}; ///< the final synchronization of all partitions succeeded
   std::thread sync_thread_;
 };
 
--- a/src/prepaid/impl/budget_sync.cpp
+++ b/src/prepaid/impl/budget_sync.cpp
@@ -1,4 +1,4 @@
-// The part of the desk that reads and writes the log, on a thread of its own.
+// The background thread of `budget_manager`, which reads and writes the log.
 
 #include "prepaid/impl/budget_manager.hpp"
 
@@ -9,14 +9,13 @@
 
 namespace {
 
-// An append fails when another host's came first. With tens of hosts a partition is written some
-// tens of times a second, so a few tries find a gap.
+// A conditional append fails if another host appended first. With tens of hosts a partition is
+// written some tens of times per second, so a few attempts suffice.
 constexpr int max_append_attempts = 6;
 constexpr std::uint64_t base_jitter_ms = 12;
-constexpr std::uint64_t hosts_per_jitter_ms =
-    3; // the pause grows by a millisecond for so many hosts
+constexpr std::uint64_t hosts_per_jitter_ms = 3; // a millisecond more per so many hosts
 
-// Between tries to reach a log that does not answer.
+// Delay between attempts to reach a log that does not answer.
 constexpr time_ms log_retry_delay{250};
 
 std::chrono::milliseconds to_chrono(time_ms span) {
@@ -25,7 +24,8 @@
 
 } // namespace
 
-// Who holds nothing of a partition has nothing to report, and reads along at leisure.
+// A host that holds no tokens of a partition has nothing to report and reads it at the idle
+// interval.
 time_ms budget_manager::sync_interval(const partition& part) const {
   if (!part.budgets.holds_tokens())
     return options_.idle_interval;
@@ -51,7 +51,7 @@
       std::min_element(partitions_.begin(), partitions_.end(),
                        [](const auto& a, const auto& b) { return a->due < b->due; });
   const time_ms pause = std::max((*earliest)->due - time_.now(), time_ms{1});
-  wake_.wait_for(lock, to_chrono(pause)); // a partition may become due sooner than it was
+  wake_.wait_for(lock, to_chrono(pause)); // notified when a partition becomes due earlier
 }
 
 void budget_manager::run() {
@@ -101,7 +101,8 @@
   }
 }
 
-// Who only hands back what it does not hold any more has time, and leaves the log to the others.
+// A host that only returns tokens does not retry a failed append, which leaves the log to the other
+// hosts.
 bool budget_manager::needs_prompt_sync(const partition& part) const {
   const std::scoped_lock lock{mutex_};
   return part.budgets.needs_prompt_sync();
@@ -151,8 +152,8 @@
   part.loaded = true;
 }
 
-// The newest record under a key that cannot be read hides the owner's last one, which the log may
-// still keep for a while.
+// An unreadable newest record under a key hides the owner's last account, which the log may still
+// retain.
 void budget_manager::restore_overwritten(partition& part, const account_page& history,
                                          const std::vector<entry_fault>& faults) {
   for (const account_record& record : history.records) {
@@ -163,8 +164,8 @@
   }
 }
 
-// After the accounts of the page: what is known of a host from them is known, in whatever order
-// they were written.
+// Called after the accounts of the page were applied, so that a host with a readable account counts
+// as known whatever the order of the records.
 void budget_manager::apply_faults(partition& part, const account_page& page,
                                   const account_page& history) {
   for (const account_record& record : page.records)
@@ -172,7 +173,7 @@
   for (const entry_fault& fault : page.faults) {
     faults_.note(entry_topic::accounts, fault.key, fault.why);
     const auto owner = read_account_key(fault.key);
-    // No record was ever deleted, and none under this key is an account: its host had none.
+    // No record was ever deleted and none under this key is an account, so the host had none.
     const bool never_written =
         history.from_start && !history.history_lost &&
         std::none_of(history.records.begin(), history.records.end(),
@@ -184,8 +185,8 @@
   }
 }
 
-// The first seconds of a life know only this machine's time of day; the median of the fleet's
-// clocks is surer, and leaves less to be written off.
+// In the first seconds of an incarnation only this machine's time of day is known. The median of
+// the fleet's clocks is more reliable, so less has to be written off.
 void budget_manager::restate_start(partition& part) {
   if (part.budgets.started().from_median)
     return;
--- a/src/prepaid/impl/clock_reading.cpp
+++ b/src/prepaid/impl/clock_reading.cpp
@@ -6,21 +6,20 @@
 
 namespace {
 
-// Two clocks that advanced alike were neither restarted nor set: their drift over minutes and the
-// time between reading one and the other stay far below this.
+// If both clocks advanced by the same time within this tolerance, neither was restarted or set:
+// their drift over minutes and the delay between the two reads are far smaller.
 constexpr time_ms max_clock_drift{250};
 
-// A time of day is set by some seconds at a time; clocks that differ by more than this belong to
-// two starts of the machine.
+// The time of day is set by a few seconds at a time. If the clocks differ by more than this, the
+// machine was restarted between the readings.
 constexpr time_ms max_wall_step{60000};
 
-// How far back one machine's time of day may have been set between the two moments; the largest
-// jump known of these machines is 2.4 s.
+// How far a machine's time of day may have been set back between two readings; the largest known
+// jump of these machines is 2.4 s.
 constexpr time_ms max_wall_set_back{2500};
 
-// How far the median of several machines' clocks may be off between two moments: clocks that are
-// not set differ by some hundred milliseconds, and other hosts may be heard at one moment and the
-// other.
+// How far the median of several machines' clocks may shift between two readings: clocks that are
+// not set differ by some hundred milliseconds, and the two medians may be of different hosts.
 constexpr time_ms max_median_shift{500};
 
 time_ms absolute(time_ms span) noexcept {
@@ -29,8 +28,8 @@
 
 } // namespace
 
-// A kill leaves the machine's own clock going, and then both clocks agree. A loss of power starts
-// it anew; what is left is the time of day, less sure by as much as it jumps.
+// After a process is killed the boot clock keeps running, and both clocks agree. A power loss
+// restarts the boot clock; only the time of day remains, with its possible jump as a margin.
 std::optional<time_ms> max_elapsed(const clock_reading& from, const clock_reading& to) noexcept {
   const time_ms by_boot = to.boot - from.boot;
   const time_ms by_wall = to.wall - from.wall;
--- a/src/prepaid/impl/clock_reading.hpp
+++ b/src/prepaid/impl/clock_reading.hpp
@@ -6,18 +6,18 @@
 
 namespace sedgechute {
 
-/// \brief One instant by two clocks of one machine, so that an instant of an earlier life of a
-/// process can be compared with one of a later life.
+/// \brief One instant by two clocks of a machine. Readings of earlier and later incarnations of a
+/// process can be compared.
 struct clock_reading {
-  time_ms boot;            ///< since the machine was started; begins anew when it loses power
+  time_ms boot;            ///< time since the machine booted; restarts after a power loss
   time_ms wall;            ///< time of day; may jump by seconds
   bool from_median{false}; ///< `wall` is the median of several hosts' clocks
 
   bool operator==(const clock_reading&) const = default;
 };
 
-/// \returns the most time that can have passed between two moments of one machine; nothing when its
-/// clocks do not tell
+/// \returns the longest time that can have passed between two readings of one machine, or nothing
+/// if its clocks cannot tell
 [[nodiscard]] std::optional<time_ms> max_elapsed(const clock_reading& from,
                                                  const clock_reading& to) noexcept;
 
--- a/src/prepaid/impl/fleet_clock.cpp
+++ b/src/prepaid/impl/fleet_clock.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-// Hosts tell their time at least once a second; one that fell silent may have been set since.
+// Hosts send their time at least once a second. The clock of a host that stopped sending may have
+// been set since.
 constexpr time_ms max_sample_age{2500};
 
-// Clocks of which a median is taken, this machine's own among them. Jumps hit some of the machines
-// at a time; with fewer clocks two could outvote the rest.
+// Least number of clocks for a median, including this machine's. Jumps affect some of the machines
+// at a time; with fewer clocks two of them could outvote the rest.
 constexpr std::size_t min_clocks = 5;
 
 } // namespace
@@ -22,8 +23,8 @@
   hosts_[host] = {wall - at, at};
 }
 
-// Kept as differences to a clock that never jumps: a jump of this machine's own time of day moves
-// one of the values, and not those of the others.
+// Times of day are stored as offsets from the boot clock, which never jumps: a jump of this
+// machine's time of day changes only its own offset.
 clock_reading fleet_clock::reading() const {
   const time_ms at = now();
   const time_ms own = wall_time();
--- a/src/prepaid/impl/fleet_clock.hpp
+++ b/src/prepaid/impl/fleet_clock.hpp
@@ -8,24 +8,25 @@
 
 namespace sedgechute {
 
-/// \brief This machine's clock since its start, and the time of day as most hosts see it. One
-/// machine's time of day may jump; the median of several does not. Thread-safe.
+/// \brief The machine's boot clock, and the median of several hosts' times of day: one machine's
+/// time of day may jump, the median does not. Thread-safe.
 class fleet_clock final : public clock {
  public:
   explicit fleet_clock(const clock& since_start) : since_start_{since_start} {}
 
-  /// \returns time since the machine was started
+  /// \returns time since the machine booted
   [[nodiscard]] time_ms now() const noexcept override { return since_start_.now(); }
 
-  /// \brief Another host has just told its time of day.
+  /// \brief Records the time of day that another host has just sent.
   void observe(const std::string& host, time_ms wall);
   [[nodiscard]] clock_reading reading() const;
-  /// \returns an earlier moment of this life of the process, by what is known of clocks now
+  /// \returns an earlier reading of this process with its time of day recomputed from the clocks
+  /// known now
   [[nodiscard]] clock_reading restated(const clock_reading& earlier) const;
 
  private:
   struct sample {
-    time_ms offset; ///< its time of day, less this machine's time since its start
+    time_ms offset; ///< the host's time of day minus this machine's boot clock
     time_ms at;
   };
 
--- a/src/prepaid/impl/holder_selection.cpp
+++ b/src/prepaid/impl/holder_selection.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A round trip within a data centre takes a tenth of one between them.
+// A round trip within a data centre takes a tenth of one between data centres.
 constexpr double near_weight = 4;
 
 std::uint64_t weight_of(std::size_t partition, const std::string& host) {
@@ -33,8 +33,9 @@
   return static_cast<std::size_t>(heavier) < holders_per_data_centre;
 }
 
-// Each holder draws a time that is shorter on average the more it holds; the first is asked first.
-// All hosts read the same accounts: if each asked who holds most, all would ask the same one.
+// Weighted random order: each holder draws a time that is shorter on average the more it holds, and
+// the shortest comes first. All hosts read the same accounts: if each asked the holder with most
+// tokens first, all would ask the same one.
 std::vector<token_holder>
 borrowing_order(std::vector<token_holder> holders,
                 const std::function<bool(const std::string& host)>& is_near,
--- a/src/prepaid/impl/holder_selection.hpp
+++ b/src/prepaid/impl/holder_selection.hpp
@@ -10,27 +10,27 @@
 
 namespace sedgechute {
 
-/// \returns the partition of the log in which a team's accounts lie
+/// \returns the log partition that contains a team's accounts
 [[nodiscard]] std::size_t account_partition(const std::string& team, std::size_t partitions);
 
-/// \brief In a data centre of so many hosts or fewer, each holds tokens of all teams.
+/// \brief In a data centre with at most this many hosts each host holds tokens of all teams.
 constexpr std::size_t small_data_centre_hosts = 4;
 
-/// \brief In a larger one so many hosts hold those of a team. A cut between data centres leaves
-/// each its own holders, and one may be gone. More of them would each hold too little for a large
-/// request, and write too many records.
+/// \brief Number of hosts in a larger data centre that hold a team's tokens. If data centres are
+/// cut off from each other, each still has its own holders, and one of them may fail. More holders
+/// would each hold too little for a large request, and write too many records.
 constexpr std::size_t holders_per_data_centre = 2;
 
-/// \returns whether `self` is one of the holders of a partition's teams among the hosts of its data
-///   centre, which all hosts reckon alike (rendezvous hashing). Who holds tokens of one team of a
-///   partition holds those of all: it then has one partition to read and write, and not each.
+/// \returns whether `self` is among the hosts of its data centre that hold the tokens of a
+/// partition's teams; all hosts compute the same answer (rendezvous hashing). Holders are chosen by
+/// partition, not by team, so that a holder reads and writes one partition and not all of them.
 /// \param centre  the hosts of the data centre; `self` may be among them
 [[nodiscard]] bool holds_tokens_of(std::size_t partition, const std::string& self,
                                    const std::vector<std::string>& centre);
 
-/// \returns the holders in the order in which a host asks them: near ones and those that hold much
-///   tend to come first, but not the same ones for every request
-/// \param is_near  whether a host is of the own data centre
+/// \returns the holders in the order in which a host asks them: near ones and those with many
+/// tokens tend to come first, but the order differs between requests
+/// \param is_near  whether a host is in this host's data centre
 [[nodiscard]] std::vector<token_holder>
 borrowing_order(std::vector<token_holder> holders,
                 const std::function<bool(const std::string& host)>& is_near, random_source& random);
--- a/src/prepaid/impl/loan_ledger.cpp
+++ b/src/prepaid/impl/loan_ledger.cpp
@@ -18,9 +18,10 @@
   return at == open_.end() ? std::nullopt : std::optional{at->second};
 }
 
-// A message may come twice or late, and the second of two must bring nothing: its borrower has
-// given the tokens away once. So the first one ends the loan, also where it returns a part. A later
-// life of this host knows no loan of this one: it counts as used what this one may have lent.
+// A return message may arrive twice or late, and a duplicate must credit nothing: the borrower
+// debited the tokens once. So the first message closes the loan, even if it returns a part. A later
+// incarnation of this host knows no loan of this one: it counts as used whatever this one may have
+// lent.
 std::uint64_t lent_ledger::close(const loan_key& loan, std::uint64_t returned) {
   const auto at = open_.find(loan);
   if (at == open_.end())
@@ -37,8 +38,8 @@
     of_team.pop_front();
 }
 
-// Requests do not say which loan's tokens they use. Which one is given back is the same to the
-// team; the newest ones' lenders are the likeliest to be there still.
+// Requests do not record which loan's tokens they use, and for the team it makes no difference
+// which loan is returned. The lenders of the newest loans are the most likely to be running still.
 std::vector<borrowed_loan> borrowed_ledger::take(const std::string& team, std::uint64_t unused) {
   std::vector<borrowed_loan> taken;
   std::deque<borrowed_loan>& of_team = loans_[team];
--- a/src/prepaid/impl/loan_message.cpp
+++ b/src/prepaid/impl/loan_message.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr char separator = '\n'; // which neither a team's nor a host's name may hold
+constexpr char separator = '\n'; // names of teams and hosts cannot contain it
 constexpr std::size_t fields = 5;
 
 std::optional<std::uint64_t> number_of(std::string_view text) {
--- a/src/prepaid/impl/loan_message.hpp
+++ b/src/prepaid/impl/loan_message.hpp
@@ -10,9 +10,9 @@
 namespace sedgechute {
 
 enum class loan_step {
-  asked,    ///< by who needs tokens
-  given,    ///< by who holds them; none where `tokens` is 0
-  returned, ///< by who asked: so many were not used; no answer
+  asked,    ///< a host requests tokens
+  given,    ///< a holder answers with tokens; `tokens` is 0 if it lends none
+  returned, ///< the borrower returns unused tokens; has no answer
 };
 
 template <>
@@ -22,19 +22,19 @@
                                                          {loan_step::returned, "returned"}});
 };
 
-/// \brief What two hosts say to each other about tokens of a team.
+/// \brief A message between two hosts about a loan of a team's tokens.
 struct loan_message {
   loan_step step{loan_step::asked};
-  std::uint64_t number{}; ///< of the question; its answer, and what is returned, bear the same
+  std::uint64_t number{}; ///< number of the request; also in its answer and its return
   std::uint64_t tokens{};
-  std::string host; ///< that sends this
+  std::string host; ///< the sender
   std::string team;
 
   bool operator==(const loan_message&) const = default;
 };
 
 [[nodiscard]] std::string encode_loan(const loan_message& message);
-/// \returns nothing when the bytes are no such message
+/// \returns the message, or nothing if the bytes are malformed
 [[nodiscard]] std::optional<loan_message> decode_loan(std::string_view bytes);
 
 } // namespace sedgechute
--- a/src/prepaid/impl/partition_budgets.cpp
+++ b/src/prepaid/impl/partition_budgets.cpp
@@ -13,8 +13,8 @@
 
 constexpr double ms_per_second = 1000;
 
-// A host that has not used anything still counts with this many tokens a second, so that shares of
-// a budget are defined before the first request.
+// Rate in tokens per second assumed for a host without any use, so that shares of a budget are
+// defined before the first request.
 constexpr double min_rate = 1;
 
 std::uint64_t saturating_sub(std::uint64_t a, std::uint64_t b) noexcept {
@@ -23,21 +23,22 @@
 
 } // namespace
 
-/// One team's budget over all hosts.
+/// Totals of one team's budget over all hosts.
 struct partition_budgets::budget_summary {
-  std::uint64_t free{};         ///< granted to nobody
-  std::uint64_t unused{};       ///< free, or granted to a host that is there and not used by it
-  double total_rate{};          ///< tokens a second of all hosts that hold some
-  std::size_t hosts{1};         ///< that hold some, and this one
-  double remaining_fraction{1}; ///< of the budget: unused
+  std::uint64_t free{};         ///< not granted to any host
+  std::uint64_t unused{};       ///< free, or granted to a host that wrote recently and unused
+  double total_rate{};          ///< tokens per second of all holding hosts
+  std::size_t hosts{1};         ///< holding hosts, including this one
+  double remaining_fraction{1}; ///< unused part of the budget
 };
 
 partition_budgets::partition_budgets(std::string host, std::uint64_t incarnation,
                                      const clock_reading& started, const prepaid_options& options)
     : host_{std::move(host)}, incarnation_{incarnation}, started_{started}, options_{options} {}
 
-// What an earlier life of this host may have used counts as used. Nothing tells how much it was,
-// but it kept to the promise of its last record until it ended, which was before this life began.
+// Whatever an earlier incarnation of this host may have used counts as used. The exact number is
+// unknown, but it kept to the promise of its last record until it ended, which was before this
+// incarnation began.
 void partition_budgets::apply(const account_record& record, std::uint64_t end, time_ms now) {
   team_state& state = teams_[record.team];
   state.accounts[record.host] = {record.value, now};
@@ -47,7 +48,7 @@
     write_off_previous_incarnation(state);
   } else if (record.host == host_) {
     state.unpromised_demand = 0;
-    if (was_unreadable) // by `write_off_unreadable`
+    if (was_unreadable) // written by `write_off_unreadable`
       state.written_off = record.value.used;
   }
   if (record.host == host_)
@@ -55,9 +56,9 @@
   advance(end);
 }
 
-// A host that has read all records knows what stood under the key before. One that has just started
-// does not: were it to take the account for empty, it would grant those tokens a second time.
-// Whoever knows its own account writes it again, which ends the doubt for all.
+// A host that has read all records knows the previous account under the key. One that has just
+// started does not: if it took the account for empty, it would grant those tokens a second time. A
+// host that knows its own account writes it again, and all hosts can read it.
 void partition_budgets::note_unreadable(const std::string& team, const std::string& host,
                                         time_ms now) {
   team_state& state = teams_[team];
@@ -83,7 +84,7 @@
   return all;
 }
 
-// A bound that is known better later on may only shrink: tokens have been used by the first one.
+// A corrected bound may only shrink: tokens have been used according to the first one.
 void partition_budgets::restate_start(const clock_reading& started) {
   started_ = started;
   for (auto& [team, state] : teams_) {
@@ -95,8 +96,8 @@
   }
 }
 
-// An append whose answer was lost may be carried out late, but only while the log ends where it was
-// meant to. Once the log is longer, it either was carried out and has been read, or never will be.
+// An append whose answer was lost may take effect late, but only while the log ends at its offset.
+// Once the log is longer, the append either took effect and has been read, or never will.
 void partition_budgets::advance(std::uint64_t end) noexcept {
   if (end <= end_)
     return;
@@ -110,8 +111,8 @@
   return at == teams_.end() ? nullptr : &at->second;
 }
 
-// A new life writes its own record before it uses anything: an append of an earlier life may still
-// be carried out, and only a longer log ends that.
+// A new incarnation writes its own record before it uses any tokens: an append of an earlier
+// incarnation may still take effect until the log is longer.
 account partition_budgets::own_account(const team_state& state) const {
   const auto at = state.accounts.find(host_);
   if (at == state.accounts.end())
@@ -126,7 +127,7 @@
   return saturating_sub(state.received, state.settled + state.reserved);
 }
 
-// Loans are used first; whoever lent them has counted them as used.
+// Borrowed tokens are used first; their lenders have counted them as used.
 std::uint64_t partition_budgets::own_use(const team_state& state) const {
   return state.written_off + state.lent +
          saturating_sub(state.settled + state.reserved, state.received);
@@ -242,14 +243,14 @@
   return given;
 }
 
-// The next record says that they are not used; until then the promise made before covers them.
+// The next record reports them as unused; until then the current promise covers them.
 void partition_budgets::take_back(const std::string& team, std::uint64_t tokens) {
   team_state& state = teams_[team];
   state.lent = saturating_sub(state.lent, tokens);
   state.lent_since_update -= static_cast<double>(tokens);
 }
 
-// What has come for a request that waits for loans is that request's: it may not have woken up yet.
+// Borrowed tokens are kept for the requests that wait for loans, which may not have woken up yet.
 std::uint64_t partition_budgets::shortfall(const std::string& team, std::uint64_t bound,
                                            time_ms now) const {
   const team_state* state = find(team);
@@ -284,9 +285,10 @@
   state.settled += std::min(used, bound);
 }
 
-// Requests counted at their usual size: sizes differ a hundredfold, and what one large request used
-// says little about the next seconds. Refused ones count too; their callers come back. The first
-// seconds count for themselves, not together with a past in which nothing was asked.
+// Counts requests at their mean size: sizes differ a hundredfold, and what one large request used
+// predicts little of the next seconds. Refused requests count too, since their callers retry.
+// Dividing by `rate_weight` keeps the time before the first request from counting as a rate of
+// zero.
 void partition_budgets::update_rate(team_state& state, time_ms now) const {
   const double elapsed = static_cast<double>((now - state.rate_updated_at).count());
   if (state.rate_updated_at == time_ms{} || elapsed <= 0) {
@@ -337,8 +339,8 @@
   return pool;
 }
 
-// What the hosts hold together is dealt by their rates of use. It shrinks as a budget runs out, and
-// the last tokens lie where the requests come.
+// The tokens that hosts hold together are divided by their rates of use. The total shrinks as a
+// budget runs out, so that the last tokens are at the hosts that receive requests.
 std::uint64_t partition_budgets::target_slack(const std::string& team, const team_state& state,
                                               const budget_summary& pool) const {
   if (!holds(team))
@@ -400,11 +402,11 @@
   next.written = now;
 }
 
-// All grants together are at most what was paid for, so an unreadable account granted no more than
-// nobody else holds. Its owner writes it again at once if it still knows it; if it does not, nobody
-// does, and without this record the team would never be granted anything again. The owner waits
-// until it has surely read the newest configuration: a grant may rest on a budget raised meanwhile.
-// Other hosts wait for longer, for an owner that may be cut off.
+// All grants add up to at most the paid tokens, so an unreadable account was granted no more than
+// what no other host holds. An owner that still knows its account writes it again at once. If no
+// host knows it, the team would never be granted tokens again without this record. The owner waits
+// until it has certainly read the newest configuration, since the grant may rest on a budget raised
+// meanwhile. Other hosts wait longer, since the owner may be cut off.
 std::optional<account_record>
 partition_budgets::write_off_unreadable(const std::string& team, const team_state& state,
                                         std::uint64_t prepaid, const clock_reading& now) const {
@@ -432,7 +434,7 @@
   if (known.granted != next.granted || state.wanted > 0 || state.unpromised_demand > 0 ||
       state.overwritten)
     return true;
-  // A new life that has nothing to use promises nothing: the last life's record says as much.
+  // A new incarnation without usable tokens promises nothing, as the last record already says.
   if (known.incarnation != next.incarnation)
     return next.slack() > 0;
   const bool changed = known.used != next.used || known.rate != next.rate ||
--- a/src/prepaid/impl/promise_policy.cpp
+++ b/src/prepaid/impl/promise_policy.cpp
@@ -11,9 +11,9 @@
   return static_cast<double>(span.count()) / ms_per_second;
 }
 
-// Others borrow whole requests, and do not wait for this host's next record. In a large fleet a few
-// hosts lend to hundreds: where they were asked for more than they had promised, the lead covers
-// what these ask for until that record.
+// Other hosts borrow for whole requests, and do not wait for this host's next record. In a large
+// fleet a few hosts lend to hundreds: if they are asked for more than they have promised, the burst
+// covers that demand until the next record.
 double loan_burst(const promise_inputs& demand, const prepaid_options& options) noexcept {
   const double whole_requests =
       demand.lent_fraction * options.loan_burst_requests * demand.mean_request;
@@ -23,9 +23,9 @@
 
 } // namespace
 
-// What is promised and not used is lost when hosts are killed, so it is kept to a small part of a
-// budget: of what a host holds it shrinks with what the team has left. A budget of which little is
-// left would otherwise end with the next kill.
+// Tokens that are promised and not used are lost when hosts are killed, so a promise is a small
+// part of what a host holds, and shrinks with the unused part of the team's budget. Otherwise the
+// next kill would end a budget of which little is left.
 usage_promise make_promise(const promise_inputs& demand, const prepaid_options& options) noexcept {
   const double promisable = demand.unused * demand.remaining_fraction;
   const double burst = options.burst_fraction * promisable;
--- a/src/prepaid/impl/promise_policy.hpp
+++ b/src/prepaid/impl/promise_policy.hpp
@@ -6,26 +6,28 @@
 
 namespace sedgechute {
 
-/// \brief What a host's use of a team's tokens rests on when it writes a record.
+/// \brief Inputs of the promise in a host's record of a team.
 struct promise_inputs {
   double unused{};          ///< tokens that the host holds and has not used
-  double rate{};            ///< tokens a second that it uses lately
+  double rate{};            ///< recent use, in tokens per second
   double mean_request{};    ///< tokens
-  double lent_fraction{};   ///< of the rate: lent to other hosts
-  double unpromised_rate{}; ///< tokens a second that others asked for, held here and not promised
-  double remaining_fraction{1}; ///< of the team's budget: not used by any host
+  double lent_fraction{};   ///< part of `rate` that was lent to other hosts
+  double unpromised_rate{}; ///< tokens per second that others asked for, held here but not promised
+  double remaining_fraction{1}; ///< part of the team's budget that no host has used
 };
 
-/// \brief What a host will have used at most until its next record, beyond what the record says.
+/// \brief Upper bound on a host's use until its next record, beyond the use that the record
+/// reports.
 struct usage_promise {
-  std::uint64_t burst{};       ///< tokens, at once
-  std::uint64_t pace{};        ///< tokens a second, until `later`
-  std::uint64_t outage_pace{}; ///< the same, from then on
+  std::uint64_t burst{};       ///< tokens that may be used at once
+  std::uint64_t pace{};        ///< tokens per second until `outage_after`
+  std::uint64_t outage_pace{}; ///< tokens per second after that
   time_ms outage_after{};
 };
 
-/// \returns what a record promises. What is promised and not used is lost to the team when the host
-///   is killed; what is not promised cannot be used while the host is cut off from the log.
+/// \returns the promise of a record. Tokens that are promised and not used are lost to the team
+/// when the host is killed; tokens that are not promised cannot be used while the host is cut off
+/// from the log.
 [[nodiscard]] usage_promise make_promise(const promise_inputs& demand,
                                          const prepaid_options& options) noexcept;
 
--- a/src/prepaid/impl/token_loans.cpp
+++ b/src/prepaid/impl/token_loans.cpp
@@ -18,7 +18,7 @@
         return borrow(demand, from);
       },
       [this](const std::string& team) { give_back(team); });
-  // An answer to a question of an earlier life must not be taken for one of this life.
+  // An answer to a request of an earlier incarnation must not match a request of this one.
   last_request_number_ = random_() >> 1U;
 }
 
@@ -83,7 +83,7 @@
     unresponsive_until_[host] = time_.now() + options_.unresponsive_backoff;
     if (at != open_.end())
       at->second.awaited = false;
-    return std::nullopt; // the question stays open: its answer may still come
+    return std::nullopt; // the request stays open for a late answer
   }
   const std::uint64_t given = *at->second.given;
   open_.erase(at);
@@ -107,7 +107,7 @@
   return true;
 }
 
-// A question that comes twice has one answer: a second loan would be nobody's.
+// A duplicate request gets the same answer: the borrower would not use a second loan.
 void token_loans::lend(const loan_message& asked) {
   const loan_key loan{asked.host, asked.team, asked.number};
   std::optional<std::uint64_t> before;
@@ -127,9 +127,9 @@
                {.team = asked.team}, {{log_field::tokens, given}, {log_field::peer, asked.host}});
 }
 
-// Tokens are taken whenever they come, once: who waited for them may have given up, but they count
-// as used where they were given. A host gives no more than it was asked for; more would be tokens
-// that count nowhere.
+// An answer is credited once, however late: the request that waited for it may have given up, but
+// its tokens count as used at the lender. A host lends no more than it was asked for; tokens above
+// that would not be counted as used by any host.
 bool token_loans::receive(const loan_message& given) {
   {
     const std::scoped_lock lock{mutex_};
@@ -169,7 +169,8 @@
     send_back(team, loan);
 }
 
-// Given up here before it is sent: a message that is lost loses tokens, and none are used twice.
+// The tokens are debited before the message is sent: a lost message loses tokens, but none are used
+// twice.
 void token_loans::send_back(const std::string& team, const borrowed_loan& loan) {
   const std::uint64_t tokens = manager_.give_back(team, loan.tokens);
   if (tokens == 0) {
--- a/src/prepaid/impl/token_loans.hpp
+++ b/src/prepaid/impl/token_loans.hpp
@@ -18,59 +18,59 @@
 
 struct loan_options {
   /// Longest wait for one host's answer: a round trip between data centres takes 3 ms, and a host
-  /// with a quarter of a core may be busy with others for twenty.
+  /// with a quarter of a core may be busy with other work for twenty.
   time_ms answer_timeout{30};
   /// Longest wait of one request for tokens of other hosts.
   time_ms borrow_timeout{90};
-  /// Hosts that one request asks. Each holds part of what its team has left; a large request may
-  /// need what several hold.
+  /// Most hosts that one request asks. Each holds a part of the team's tokens, and a large request
+  /// may need those of several.
   std::size_t max_hosts_asked{6};
-  /// A host that did not answer is not asked again for so long: it may be cut off.
+  /// A host that did not answer is not asked again for this time, since it may be cut off.
   time_ms unresponsive_backoff{1000};
-  /// Questions without an answer that are remembered; their answers still bring tokens.
+  /// Unanswered requests that are remembered, so that late answers still credit tokens.
   std::size_t max_open_requests{256};
-  /// Loans of a host that it may get back. The longest request takes fifteen seconds, and a holder
-  /// lends some fifty times a second; what is forgotten counts as used.
+  /// Loans that a lender remembers and may get back. The longest request takes fifteen seconds, and
+  /// a holder lends some fifty times a second. A forgotten loan counts as used.
   std::size_t max_lent_loans{2048};
-  /// Loans of a team that a host can give back.
+  /// Loans per team that a borrower can return.
   std::size_t max_borrowed_loans{64};
 };
 
-/// \brief Tokens that hosts lend each other, when the log is out of reach or has none to grant, and
-/// give back when they were not used. A message that is lost loses its tokens: they count as used
-/// where they were given. Thread-safe.
+/// \brief Lends tokens between hosts when the log is unreachable or has none to grant, and returns
+/// unused ones. The tokens of a lost message are lost: they count as used at the lender.
+/// Thread-safe.
 class token_loans {
  public:
-  /// \brief Sends a message to a host; false when no such host is known.
+  /// \brief Sends a message to a host; returns false if the host is unknown.
   using sender = std::function<bool(const std::string& host, std::string_view bytes)>;
   using near_predicate = std::function<bool(const std::string& host)>;
 
   /// \param desk  must not have been started
-  /// \param is_near  whether a host is of the own data centre
+  /// \param is_near  whether a host is in this host's data centre
   token_loans(std::string self, budget_manager& manager, sender send, near_predicate is_near,
               const loan_options& options, const clock& time, structured_log& log);
   token_loans(const token_loans&) = delete;
   token_loans& operator=(const token_loans&) = delete;
   ~token_loans() = default;
 
-  /// \brief Asks hosts in turn until as many tokens as are needed were lent to this host.
-  /// \returns how many were
+  /// \brief Asks hosts in turn until they have lent the tokens that a request needs.
+  /// \returns the number of tokens lent
   std::uint64_t borrow(const token_demand& demand, const std::vector<token_holder>& from);
 
-  /// \brief Gives back what was lent of a team's tokens and nobody uses here.
+  /// \brief Returns idle borrowed tokens of a team to their lenders.
   void give_back(const std::string& team);
 
-  /// \brief Takes a message of another host.
-  /// \returns false when the bytes are none, or none that a host sends
+  /// \brief Handles a message from another host.
+  /// \returns false if the message is malformed, or one that no host sends
   [[nodiscard]] bool handle(std::string_view bytes);
 
  private:
   struct loan_request {
     std::string team;
     std::uint64_t asked{};              ///< tokens
-    bool awaited{true};                 ///< by a request
-    bool taken{false};                  ///< its answer has come
-    std::optional<std::uint64_t> given; ///< tokens that this host now has
+    bool awaited{true};                 ///< a request waits for the answer
+    bool taken{false};                  ///< the answer has arrived
+    std::optional<std::uint64_t> given; ///< tokens credited to this host
   };
 
   [[nodiscard]] std::vector<token_holder> order(const std::vector<token_holder>& holders);
@@ -78,7 +78,7 @@
   [[nodiscard]] std::optional<std::uint64_t> ask(const std::string& host, const std::string& team,
                                                  std::uint64_t tokens, time_ms until);
   void lend(const loan_message& asked);
-  /// \returns false when nobody who was asked can have said so
+  /// \returns false if no host that was asked can have sent this answer
   [[nodiscard]] bool receive(const loan_message& given);
   void take_back(const loan_message& returned);
   void send_back(const std::string& team, const borrowed_loan& loan);
@@ -92,7 +92,7 @@
   structured_log& log_;
   ordered_mutex mutex_{lock_rank::outbox};
   std::condition_variable_any answered_;
-  std::map<std::uint64_t, loan_request> open_; ///< by number, the oldest first
+  std::map<std::uint64_t, loan_request> open_; ///< by number, oldest first
   std::map<std::string, time_ms> unresponsive_until_;
   lent_ledger lent_;
   borrowed_ledger borrowed_;
--- a/src/prepaid/impl/token_wait.cpp
+++ b/src/prepaid/impl/token_wait.cpp
@@ -4,8 +4,8 @@
 
 namespace sedgechute {
 
-// A host that is cut off promised little for the first moments after its last record, and more
-// later: a request that can wait for that is not refused.
+// A host that is cut off has promised little for the first moments after its last record and more
+// for later. A request that can wait for that is not refused.
 std::optional<token_wait> plan_token_wait(const underfunded_request& request,
                                           time_ms longest) noexcept {
   const time_ms log_until = request.began + longest;
--- a/src/prepaid/impl/token_wait.hpp
+++ b/src/prepaid/impl/token_wait.hpp
@@ -6,30 +6,30 @@
 
 namespace sedgechute {
 
-/// \brief Exchanges with the log that one request waits for: the first may have begun before it
-/// came.
+/// \brief Most synchronizations with the log that one request waits for: the first may have begun
+/// before the request arrived.
 constexpr int max_syncs = 3;
 
-/// \brief An exchange with the log takes 15 ms when all is well. One that takes longer than this
-/// has met a log that is away, and its time-out is no time for a request to wait.
+/// \brief A synchronization with the log normally takes 15 ms. If one takes longer than this the
+/// log is unavailable, and its timeout is too long for a request to wait.
 constexpr time_ms normal_sync_duration{120};
 
-/// \brief A request whose host has too few tokens at this moment.
+/// \brief A request whose host has too few tokens at the moment.
 struct underfunded_request {
   time_ms now;
-  time_ms began;        ///< when it began to wait
-  int syncs{max_syncs}; ///< with the log that it has waited for; all, if none can help
-  std::optional<time_ms> covered_after; ///< until what its host promised covers it, if it ever does
-  time_ms max_promise_wait;             ///< longest wait for that
+  time_ms began;        ///< when the request began to wait
+  int syncs{max_syncs}; ///< synchronizations that it has waited for; `max_syncs` if none can help
+  std::optional<time_ms> covered_after; ///< time until its host's promise covers it, if ever
+  time_ms max_promise_wait;             ///< longest wait for the promise
 };
 
 struct token_wait {
   time_ms until;
-  bool for_log{false}; ///< an exchange is wanted; else the host's promise grows meanwhile
+  bool for_log{false}; ///< wait for a synchronization; else for the promise to grow
 };
 
-/// \param longest  wait for the log
-/// \returns nothing when no wait can help in time
+/// \param longest  longest wait for the log
+/// \returns the next wait, or nothing if none can help in time
 [[nodiscard]] std::optional<token_wait> plan_token_wait(const underfunded_request& request,
                                                         time_ms longest) noexcept;
 
--- a/src/prepaid/prepaid.hpp
+++ b/src/prepaid/prepaid.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
 /// \file
-/// \brief Prepaid budgets over a log that appends on a condition: no team is ever given more than
-/// it has paid for, whatever stops, restarts or is cut off.
+/// \brief Prepaid team budgets over a log with conditional appends: no team can use more than it
+/// has paid for, whichever hosts stop, restart or are cut off.
 ///
-/// Each host holds an account with each team: tokens granted to it, and how many of these it has
-/// used. An account is one record under one key; all accounts of a partition lie in one log, and a
+/// Each host has an account with each team: the tokens granted to it, and how many of these it has
+/// used. An account is one record under one key. All accounts of a partition are in one log, and a
 /// record is appended only if the log still ends where its writer has read to. So the sum of all
 /// grants is checked against the same state that the record is added to.
 
