--- a/tests/platform/config_faults_test.cpp
+++ b/tests/platform/config_faults_test.cpp
@@ -1,4 +1,4 @@
-// Configurations that another program wrote, or that were damaged on their way.
+// Configurations that another program wrote or that were damaged in transit.
 
 #include "platform/platform.hpp"
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration without what may be missing, and with what is new, is taken") {
+TEST_CASE("optional fields of a configuration may be missing, and unknown ones are ignored") {
   REQUIRE_NOTHROW((void)parse_config_document(good));
   CHECK_NOTHROW((void)parse_config_document(R"({"Version":1,"Routes":[],"Services":[]})"));
   CHECK_NOTHROW(
@@ -47,8 +47,8 @@
         std::nullopt);
 }
 
-// A field is missing, and the route would take requests that it has nowhere to send, or would
-// answer 404 to callers of routes that exist.
+// Without a required field a route would accept requests that it cannot send anywhere, or callers
+// of existing routes would get a 404.
 TEST_CASE("a configuration without a field that it needs is refused") {
   for (const char* field :
        {R"("Version":7,)", R"("Hostname":"f",)", R"("PathPrefix":"/a/",)", R"("Type":"streaming",)",
@@ -59,8 +59,8 @@
   check_refused(changed(R"("Services")", R"("Other")"));
 }
 
-// A list is an object, a number a text. Read leniently the configuration had no routes, and every
-// caller was told that its path does not exist.
+// An array is an object, or a number a string. If it were read leniently the configuration would
+// have no routes, and every caller would be told that its path does not exist.
 TEST_CASE("a configuration with a field of another type is refused") {
   const std::vector<std::pair<std::string, std::string>> wrong{
       {R"("Version":7)", R"("Version":"7")"},
@@ -89,7 +89,7 @@
     check_refused(changed(from, to));
 }
 
-TEST_CASE("a configuration with a figure out of range is refused") {
+TEST_CASE("a configuration with a number out of range is refused") {
   const std::vector<std::pair<std::string, std::string>> wrong{
       {R"("Version":7)", R"("Version":-7)"},
       {R"("TimeoutMs":15000)", R"("TimeoutMs":-1)"},
@@ -105,9 +105,10 @@
     check_refused(changed(from, to));
 }
 
-// A route names a service that is described nowhere. Refused for it, the whole version would leave
-// every other route at an older one; taken, that route alone finds no endpoint.
-TEST_CASE("a route to a service that is not described costs no other route its version") {
+// A route names a service that the configuration does not define. If the version were refused for
+// it, all other routes would stay at an older version; if it is accepted, only that route finds no
+// endpoint.
+TEST_CASE("a route to an undefined service does not reject the configuration") {
   const config_ptr whole = parse_config_document(changed(R"("Service":"s2")", R"("Service":"s3")"));
   CHECK(whole->version == 7);
   CHECK(whole->find_service("s1") != nullptr);
@@ -117,13 +118,13 @@
   CHECK(split->version == 7);
 }
 
-TEST_CASE("a configuration with a field or a service that stands twice is refused") {
+TEST_CASE("a configuration with a duplicate field or service is refused") {
   check_refused(changed(R"("Version":7)", R"("Version":7,"Version":8)"));
   check_refused(changed(R"("TimeoutMs":15000)", R"("TimeoutMs":15000,"TimeoutMs":1)"));
   check_refused(changed(R"({"Name":"s2"})", R"({"Name":"s1"})"));
 }
 
-TEST_CASE("bytes that are no whole configuration are refused") {
+TEST_CASE("truncated or malformed configurations are refused") {
   for (std::size_t length = 0; length < good.size(); ++length)
     check_refused(good.substr(0, length));
   check_refused(good + good);
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration is read whole, and what is new in it is passed over") {
+TEST_CASE("a configuration is read completely, and unknown fields are ignored") {
   const config_ptr config = parse_config_document(document);
   CHECK(config->version == 7);
   CHECK(config->route_count() == 3);
@@ -48,7 +48,7 @@
   CHECK(config->find_route("f.example", "/od/")->kind == request_kind::unsafe);
 }
 
-TEST_CASE("a document that is no configuration is refused with the reason") {
+TEST_CASE("a document that is not a configuration is refused") {
   CHECK_THROWS_AS((void)parse_config_document("{"), error);
   CHECK_THROWS_AS((void)parse_config_document("[]"), error);
   CHECK_THROWS_AS((void)parse_config_document("{}"), error);
--- a/tests/platform/endpoint_record_test.cpp
+++ b/tests/platform/endpoint_record_test.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("an endpoint's record is read whole") {
+TEST_CASE("an endpoint's record is read completely") {
   const endpoint_entry entry = parse_endpoint_record("i-7f3a91c2", with("State", R"("draining")"));
   CHECK(entry.id.str() == "i-7f3a91c2");
   CHECK(entry.service == "s");
@@ -62,16 +62,15 @@
   CHECK_FALSE(parse_endpoint_record("i-1", text_of(plain)).draining);
 }
 
-TEST_CASE("an endpoint's start is read where it is told") {
+TEST_CASE("an endpoint's start is read if it is present") {
   CHECK_FALSE(parse_endpoint_record("i-1", text_of(plain)).started);
   CHECK(parse_endpoint_record("i-1", with("born", "1764734000123")).started ==
         time_ms{1'764'734'000'123});
 }
 
-// A newer release of the endpoints writes a field that this one does not know. Were its entries
-// refused, a host would drop all endpoints at once in the middle of an update.
-TEST_CASE(
-    "what is new in an endpoint's record is passed over, and what may be missing is not missed") {
+// A newer release of the endpoints writes a field that this release does not know. If its records
+// were refused, a host would drop all endpoints at once during an update.
+TEST_CASE("unknown fields of an endpoint's record are ignored, and optional ones may be missing") {
   check_taken(with("New", "5"));
   check_taken(with("New", R"({"State":"gone","list":[1,2,{"deep":[[[]]]}]})"));
   check_taken(with("New", "123456789012345678901234567890"));
@@ -84,15 +83,15 @@
   check_taken(with("Zone", "\"Z\xc3\xbcrich\""));
 }
 
-// Another program writes under an endpoint's key. It leaves out a field that every endpoint
-// writes: the host would send requests to an address of which it does not know what listens there.
+// Another program writes under an endpoint's key and leaves out a field that every endpoint writes.
+// The host would send requests to an address at which anything may listen.
 TEST_CASE("a record without one of an endpoint's fields names no endpoint") {
   for (const field& one : plain)
     check_refused("i-1", without(one.first));
 }
 
-// A field has another type, say the slots as a text or the state as a number. Read leniently the
-// record became an endpoint with one slot that is never draining.
+// A field has another type, for instance the slots as a string or the state as a number. If it were
+// read leniently the record would become an endpoint with one slot that is never draining.
 TEST_CASE("a record with a field of another type names no endpoint") {
   for (const field& one : plain)
     for (const char* value : {"null", "true", "[]", "{}", "[\"s\"]", "1.5e300"})
@@ -108,15 +107,15 @@
   check_refused("i-1", with("Models", R"("m")"));
 }
 
-// The start of an endpoint is a whole number of milliseconds whenever it is told. Anything else
-// would let two lives of an endpoint be taken for one.
-TEST_CASE("a record with a start that is no whole number names no endpoint") {
+// The start of an endpoint is an integer number of milliseconds if it is present. With any other
+// value two incarnations of an endpoint could be taken for one.
+TEST_CASE("a record whose start is not an integer names no endpoint") {
   for (const char* value : {"1764734000000.5", R"("1764734000000")", "null", "true", "-1", "0",
                             "1e300", "[1764734000000]"})
     check_refused("i-1", with("born", value));
 }
 
-TEST_CASE("a record with a figure out of range names no endpoint") {
+TEST_CASE("a record with a number out of range names no endpoint") {
   for (const char* value : {"0", "-1", "1.5", "1e9", "99999999999999999999"})
     check_refused("i-1", with("Slots", value));
   for (const char* value : {"-1", "0.5", "1e300"})
@@ -125,23 +124,22 @@
     check_refused("i-1", with("ColdRemainingMs", value));
 }
 
-// A host name would be looked up by a name server for every entry, and the list of endpoints would
-// stand still meanwhile.
-TEST_CASE("a record whose address is no IP number and port names no endpoint") {
+// A host name would need a DNS lookup for every record, which would block the list of endpoints.
+TEST_CASE("a record whose address is not an IP address and port names no endpoint") {
   for (const char* value : {R"("10.0.0.9")", R"("10.0.0.9:0")", R"("10.0.0.9:70000")",
                             R"("10.0.0.9:80x")", R"(":80")", R"("endpoint.example:80")",
                             R"("10.0.0:80")", R"("10.0.0.9:80 ")", R"("http://10.0.0.9:80")"})
     check_refused("i-1", with("Address", value));
 }
 
-// An endpoint says that it fails, or whatever else is not known here. Whether it would serve a
-// request is not known either.
-TEST_CASE("a record with a state that is not known names no endpoint") {
+// An endpoint reports a state that this release does not know, so it is unknown whether it would
+// serve a request.
+TEST_CASE("a record with an unknown state names no endpoint") {
   for (const char* value : {R"("failing")", R"("Ready")", R"("READY")", R"("ready ")", R"("gone")"})
     check_refused("i-1", with("State", value));
 }
 
-TEST_CASE("bytes that are no JSON object name no endpoint") {
+TEST_CASE("a record that is not a JSON object names no endpoint") {
   for (const char* text : {"", " ", "garbage", "{", "[]", "null", "7", "\"s\"", "{}",
                            "{\"Service\"", "\xff\xfe", "\x00\x01"})
     check_refused("i-1", text);
@@ -153,9 +151,9 @@
     check_refused("i-1", whole.substr(0, length));
 }
 
-// Of two fields of one name some readers take the first and some the last: hosts could disagree on
-// where an endpoint is.
-TEST_CASE("a record with a field that stands twice names no endpoint") {
+// Of two fields with one name some parsers take the first and some the last: hosts could disagree
+// on where an endpoint is.
+TEST_CASE("a record with a duplicate field names no endpoint") {
   for (const field& one : plain) {
     std::vector<field> fields = plain;
     fields.push_back(one);
@@ -163,7 +161,7 @@
   }
 }
 
-// A record of any size and depth must cost a bounded time, and never the process.
+// A record of any size or depth must take bounded time and must not crash the process.
 TEST_CASE("huge and deep records name no endpoint") {
   check_refused("i-1", with("Service", "\"" + std::string(300000, 's') + "\""));
   check_refused("i-1", with("New", std::string(100000, '[') + std::string(100000, ']')));
@@ -174,9 +172,9 @@
   check_refused("i-1", with("New", "\"" + std::string(std::size_t{2} << 20U, 'n') + "\""));
 }
 
-// The id of an endpoint goes into a header field of each request to it. A line break in it would be
-// another header field, or another request.
-TEST_CASE("a key that is no id names no endpoint") {
+// The id of an endpoint is sent in a header field of each request to it. A line break in it would
+// begin another header field or another request.
+TEST_CASE("an invalid key names no endpoint") {
   for (const std::string& key :
        {std::string{}, std::string{"i 1"}, std::string{"i\n1"}, std::string{"i-1\r\nX: y"},
         std::string{"\0", 1}, std::string{"i-\xff"}, std::string{"i-\x7f"}, std::string(200, 'i')})
--- a/tests/platform/header_dialect_test.cpp
+++ b/tests/platform/header_dialect_test.cpp
@@ -37,20 +37,20 @@
   CHECK(terms.generation->parts[1].tokens == 410);
 }
 
-TEST_CASE("a plain request has no size") {
+TEST_CASE("a request without token usage has no generation terms") {
   const request_terms terms = dialect.read_request(fields_of({{"Attempt-Id", "1"}}));
   CHECK_FALSE(terms.generation);
   CHECK_FALSE(terms.patience);
   CHECK(terms.bearer.empty());
 }
 
-TEST_CASE("a size that is no pair of numbers is refused") {
+TEST_CASE("token usage that is not a pair of numbers is refused") {
   for (const char* text : {"", "12", "12,", ",12", "a,b", "1,2,3", "-1,2"})
     CHECK_THROWS_AS((void)dialect.read_request(fields_of({{"Token-Usage", text}})), error);
 }
 
-// A caller that sets the fields by which endpoints keep, move or trust work must not reach them.
-TEST_CASE("an endpoint gets our fields, not the caller's") {
+// Fields that control how endpoints keep, move or trust work must not be forwarded from callers.
+TEST_CASE("an endpoint gets the host's fields, not the caller's") {
   header_fields fields = fields_of({{"Authorization", "Token secret"},
                                     {"Tenant", "someone-else"},
                                     {"Kv-From", "10.0.0.1:1/2"},
@@ -107,7 +107,7 @@
   CHECK_FALSE(dialect.read_reply(head).load);
 }
 
-TEST_CASE("a refusal tells when to come back, in seconds") {
+TEST_CASE("a refusal says when to retry, in seconds") {
   header_fields fields;
   dialect.to_refusal(fields, "9", time_ms{750});
   CHECK(*fields.find("Retry-After") == "0.750");
@@ -117,7 +117,7 @@
   CHECK(bare.all().empty());
 }
 
-TEST_CASE("an endpoint is asked what it says of itself, and its start is read from it") {
+TEST_CASE("an endpoint's start is read from its report about itself") {
   const header_dialect dialect;
   const request_head question = dialect.self_question("i-1");
   CHECK(question.method == "GET");
--- a/tests/platform/names_test.cpp
+++ b/tests/platform/names_test.cpp
@@ -1,5 +1,5 @@
-// The platform's names are known in one folder. Anywhere else they would spread until the product
-// spoke nothing but the language of one platform.
+// Only one folder may use the platform's names. Otherwise they would spread, and the product would
+// depend on one platform.
 
 #include <doctest/doctest.h>
 
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("no source outside the adapter and the stand-ins names what the platform names") {
+TEST_CASE("the platform's names occur only in the adapter and the stand-ins") {
   const std::filesystem::path root = std::filesystem::path{SEDGECHUTE_SOURCE_DIR} / "src";
   int looked_at = 0;
   for (const auto& entry : std::filesystem::recursive_directory_iterator{root}) {
--- a/tests/platform/other_writers_test.cpp
+++ b/tests/platform/other_writers_test.cpp
@@ -1,4 +1,4 @@
-// Records in the store's topics that other programs left among those that are read there.
+// Records that other programs left in the store's topics, among the expected ones.
 
 #include "platform/platform.hpp"
 #include "standin/standin.hpp"
@@ -51,9 +51,9 @@
   CHECK(endpoints.changes[2].fault.empty());
 }
 
-// Another program writes one entry under a key whose bytes are no text. The store tells all newest
-// entries on one page: a host that starts would know of no endpoint, or of no other host.
-TEST_CASE("an entry with any key and bytes costs none of the others on its page") {
+// Another program writes an entry under a key that is not text. The store returns all newest
+// entries on one page, so a host that starts would find no endpoints or no other hosts.
+TEST_CASE("an entry with invalid bytes does not affect the others on its page") {
   fixture at;
   const std::vector<std::string> keys{"\xff\xfe", "\xed\xa0\x80", std::string("\0", 1),    "",
                                       "i \n",     "\"}]}",        std::string(255, '\x80')};
@@ -69,7 +69,7 @@
   const auto is_good = [](const endpoint_change& one) { return one.entry.has_value(); };
   for (const endpoint_changes& page : {topics.newest_endpoints(), topics.endpoints_from(0)}) {
     CHECK(std::count_if(page.changes.begin(), page.changes.end(), is_good) == 1);
-    CHECK(page.changes.size() > keys.size() / 2); // the store may tell some of them as one
+    CHECK(page.changes.size() > keys.size() / 2); // the store may report some of them as one
   }
   host_topic hosts{at.address(), timeout};
   REQUIRE(hosts.hosts().hosts.size() == 1);
@@ -82,8 +82,8 @@
   }
 }
 
-// Each entry of a list was cut off at another byte, as by a writer that ends in the middle of one.
-TEST_CASE("entries that are cut short cost none of the others") {
+// Entries are truncated at each possible byte, as by a writer that stops in the middle of one.
+TEST_CASE("truncated entries do not affect the others") {
   fixture at;
   at.store.put("keyed.servers", "i-1", endpoint_at("1.2.3.4:5"));
   const std::string cut = endpoint_at("1.2.3.4:6");
@@ -97,9 +97,9 @@
   CHECK(page.changes.size() == cut.size() + 1);
 }
 
-// One entry among the hosts has no address, or a name for one. No host would hear of the others any
-// more, and all would spend budgets without lending.
-TEST_CASE("an entry that cannot be read names no host, and the others hold") {
+// One host entry has no address, or a host name instead. If it made the others unreadable, hosts
+// would no longer find each other and could not lend tokens.
+TEST_CASE("an unreadable entry names no host and does not affect the others") {
   fixture at;
   at.store.put("keyed.hosts", "h1", "10.0.0.1:7 dc");
   for (const char* value : {"", " ", "garbage", "10.0.0.2:7", "10.0.0.2:7 ", "10.0.0.2 dc",
@@ -122,9 +122,9 @@
   CHECK(listing.faults.empty());
 }
 
-// One record among the accounts cannot be read. The whole log would count as away, on all hosts and
-// for all teams, until somebody removed it.
-TEST_CASE("a record that is no account is named, and the others are read") {
+// One record among the accounts is unreadable. The whole log would count as unavailable, on all
+// hosts and for all teams, until the record was removed.
+TEST_CASE("an invalid account is reported, and the others are read") {
   fixture at;
   account_topic topic{at.address(), timeout, 0};
   const account_record good{"team", "h1", {1, 500, 20, 3}};
--- a/tests/platform/store_client_test.cpp
+++ b/tests/platform/store_client_test.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("records are framed with their length, and cut frames are refused") {
+TEST_CASE("records are framed with their length, and truncated frames are refused") {
   const keyed_record record{"key", "value"};
   const std::string bytes = frame_record(record);
   CHECK(bytes.substr(0, 4) == std::string("\0\0\0\x09", 4));
@@ -44,8 +44,8 @@
     CHECK_FALSE(unframe_records(bytes.substr(0, length)));
 }
 
-// Another writer leaves a record that is too short for its key. Nobody could read on: the offset of
-// each record after it is counted from those before.
+// Another program writes a record that is too short for its key. If it were rejected or skipped, no
+// host could read past it: offsets are counted from the records before.
 TEST_CASE("a record without a key has its offset, and those after it are read") {
   for (const std::string& keyless : {std::string("\0\0\0\0", 4), std::string("\0\0\0\x01\x05", 5),
                                      std::string("\0\0\0\x03\xffhi", 7)}) {
@@ -90,8 +90,8 @@
   CHECK(page.end == 11);
 }
 
-// The store drops its history while a host reads: the host is told, and reads the newest of each
-// key.
+// The store deletes its history while a host reads. The host is told so, and reads the newest
+// record of each key.
 TEST_CASE("lost history is reported, and the newest of each key is still there") {
   fixture at;
   REQUIRE(at.client.append_at(part, 0, {{"a", "1"}, {"a", "2"}}) == 2);
@@ -114,8 +114,8 @@
   CHECK(page.records.size() == 1);
 }
 
-// A host's first look for a change went over the connection of its first read, and was given up
-// after the time-out of that: the store counted as away although it only had nothing to tell.
+// The first waiting read of a host used the connection of its first plain read and kept that one's
+// timeout: the store counted as unavailable although there was only nothing new.
 TEST_CASE("a read on a kept connection may last as long as it waits") {
   fixture at;
   REQUIRE(at.client.read(part, 0, {}).records.empty());
@@ -134,10 +134,10 @@
   CHECK(at.client.read(part, 0, {}).end == 0);
 }
 
-// A host was cut off from the store. The try that began just before the cut ended waited as long
-// for a connection as for a slow answer, so that the host learned 1.4 s late that the store was
-// back, and went on sending to an endpoint that had left.
-TEST_CASE("a connection that does not come is given up long before an answer would be") {
+// An attempt that began just before an outage ended waited as long for a connection as for a slow
+// answer. The host learned 1.4 s late that the store was available again, and went on sending to an
+// endpoint that had left.
+TEST_CASE("connecting times out long before an answer would") {
   const silent_address silent;
   store_client client{silent.address(), time_ms{30000}};
   const steady_clock time;
@@ -146,9 +146,10 @@
   CHECK(time.now() - began < time_ms{10000});
 }
 
-// The answer to an append is lost. The call must say that it does not know, not make it again: the
-// second time the condition would fail, and a host would think that it had not been granted.
-TEST_CASE("an append whose answer is lost is not made again") {
+// The answer to an append is lost. The call must report an unknown outcome and not retry: the
+// condition would fail the second time, and the host would conclude that it was not granted the
+// tokens.
+TEST_CASE("an append whose answer is lost is not repeated") {
   fixture at;
   set_faults(at.store, "lose_answers", 1);
   CHECK_THROWS_AS((void)at.client.append_at(part, 0, {{"a", "1"}}), error);
@@ -167,7 +168,7 @@
   CHECK(hosts[0].address == "10.0.0.2:1");
 }
 
-TEST_CASE("accounts survive the way through the store") {
+TEST_CASE("accounts read back from the store as they were written") {
   fixture at;
   account_topic accounts{at.store.server().address().toString(), timeout, 0};
   const account_record written{"team", "host", {1, 500, 20, 3}};
--- a/tests/prepaid/account_test.cpp
+++ b/tests/prepaid/account_test.cpp
@@ -21,7 +21,7 @@
   CHECK(read->value == written);
 }
 
-// A host of an earlier release is killed, and its account is read by this one: it promised nothing.
+// The account of a killed host of an earlier release has no promise in it.
 TEST_CASE("a host that promised nothing may have used all that it was granted") {
   const auto read = decode_account("team-a\nhost-1", "1 200 3 4");
   REQUIRE(read.has_value());
@@ -45,7 +45,7 @@
   CHECK(max_used(promised, time_ms{100000}) == 1000);
 }
 
-TEST_CASE("bytes that no host wrote are not taken for an account") {
+TEST_CASE("malformed accounts are rejected") {
   CHECK_FALSE(decode_account("team-a", "1 2 3 4"));
   CHECK_FALSE(decode_account("team-a\nhost-1", ""));
   CHECK_FALSE(decode_account("team-a\nhost-1", "1 2 3"));
@@ -56,9 +56,9 @@
   CHECK_FALSE(decode_account("team-a\nhost-1", "1 2 3 99999999999999999999999"));
 }
 
-// Another program writes an account whose numbers are near the end of 64 bits. Two of them would
-// sum up to little, and a budget that is granted whole would look free.
-TEST_CASE("numbers that would make sums wrap are no account") {
+// Another program writes an account whose numbers are near the limit of 64 bits. The sum of two of
+// them would wrap, and a budget that is granted entirely would look free.
+TEST_CASE("an account whose numbers would overflow sums is rejected") {
   CHECK(decode_account("team-a\nhost-1", "1 1125899906842624 3 4").has_value());
   CHECK_FALSE(decode_account("team-a\nhost-1", "1 1125899906842625 3 4"));
   CHECK_FALSE(decode_account("team-a\nhost-1", "1 18446744073709551615 3 4"));
--- a/tests/prepaid/borrowing_schedule_test.cpp
+++ b/tests/prepaid/borrowing_schedule_test.cpp
@@ -1,7 +1,7 @@
-// Random schedules of requests at one host that holds nothing: each borrows what it lacks, its loan
-// comes after others have begun and ended, and it wakes up later still. What nobody uses goes back.
-// A request that was lent all that it asked for must not be refused: another one's request may not
-// take its tokens. And nothing is used that was not lent.
+// Random schedules of requests at one host that holds no tokens: each borrows what it lacks, its
+// loan arrives after other requests began and ended, and it wakes up later still. Unused tokens are
+// returned. A request whose loan covered it must not be refused because another request took its
+// tokens, and no tokens are used that were not lent.
 
 #include "prepaid/prepaid.hpp"
 
@@ -29,13 +29,13 @@
  public:
   explicit schedule(std::uint64_t seed) : random_{seed} {}
 
-  /// \returns requests that were refused though they had been lent all that they asked for
+  /// \returns requests that were refused although their loans covered them
   [[nodiscard]] int run() {
     for (int i = 0; i < steps; ++i)
       step();
     return refused_;
   }
-  /// \returns tokens that requests hold or used, and no host lent
+  /// \returns tokens that requests reserved or used and that no host lent
   [[nodiscard]] std::uint64_t used_without_loan() const {
     return spent_ > lent_ ? spent_ - lent_ : 0;
   }
@@ -114,7 +114,7 @@
   partition_budgets book_{"taker", 1, {}, prepaid_options{}};
   std::vector<waiting_request> waiting_;
   std::vector<std::uint64_t> open_; ///< bounds
-  std::uint64_t lent_{0};           ///< and not given back
+  std::uint64_t lent_{0};           ///< lent and not returned
   std::uint64_t spent_{0};
   int refused_{0};
   int reserved_{0};
@@ -131,5 +131,5 @@
     REQUIRE(one.used_without_loan() == 0);
     reserved += one.reserved();
   }
-  CHECK(reserved > 2000 * 10); // or the schedules show nothing
+  CHECK(reserved > 2000 * 10); // else the schedules test nothing
 }
--- a/tests/prepaid/budget_manager_test.cpp
+++ b/tests/prepaid/budget_manager_test.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// A log shared by the desks of a test, which can be taken away from all of them.
+/// A log shared by the budget managers of a test, which can become unavailable to all of them.
 struct shared_log {
   std::mutex mutex;
   log_model log;
   std::atomic<bool> unavailable{false};
-  std::atomic<bool> appends_refused{false}; ///< as if another host's came first each time
-  std::atomic<bool> appends_lost{false};    ///< neither carried out nor answered
+  std::atomic<bool> appends_refused{false}; ///< as if another host appended first each time
+  std::atomic<bool> appends_lost{false};    ///< neither applied nor answered
   std::vector<entry_fault> faults;          ///< of records that cannot be read; set before use
   std::atomic<int> appends{0};
   std::atomic<int> reads{0};
@@ -87,7 +87,7 @@
   budget_manager manager;
 };
 
-/// \returns whether no request gets tokens, however often one asks while appends are tried
+/// \returns whether every request is refused while the host attempts appends
 bool serves_nothing(shared_log& shared, budget_manager& manager) {
   const int tried = shared.appends;
   bool nothing = true;
@@ -99,7 +99,7 @@
   return nothing && manager.totals()["team-a"].granted == 0;
 }
 
-/// Tries as a caller would that is told to come back.
+/// Retries like a caller that is refused for now.
 reserve_outcome reserve_with_retries(budget_manager& manager, const std::string& team,
                                      std::uint64_t bound) {
   reserve_outcome outcome = manager.reserve(team, bound);
@@ -126,8 +126,8 @@
   CHECK(host.manager.reserve("team-b", 1U << 30U) == reserve_outcome::reserved);
 }
 
-// The log cannot be reached. Callers are served from what the host holds; who needs more is told so
-// at once and not after a time-out.
+// The log is unreachable. Requests are served from the tokens that the host holds; a larger request
+// is refused at once and not after a timeout.
 TEST_CASE("a host that is cut off serves what it holds and refuses the rest") {
   shared_log shared;
   manager_fixture host{shared, "desk-3", 1};
@@ -140,8 +140,8 @@
   CHECK(host.manager.reserve("team-a", 90000) == reserve_outcome::short_here);
 }
 
-// Each time a host asks for tokens another host's record comes first, and its own is not in the
-// log. What it asked for may be granted to the other: it has nothing until its own record is there.
+// Each time a host requests tokens another host appends first, so its own record is not in the log.
+// The tokens may be granted to the other host: it has none until its own record is in the log.
 TEST_CASE("an append that the log refused grants nothing") {
   shared_log shared;
   shared.appends_refused = true;
@@ -153,7 +153,7 @@
 }
 
 // The answer to a host's append is lost. The record may be in the log or not, and here it is not:
-// the host has nothing until it has read its record there.
+// the host has no tokens until it has read its record in the log.
 TEST_CASE("an append without an answer grants nothing") {
   shared_log shared;
   shared.appends_lost = true;
@@ -164,9 +164,9 @@
   CHECK(reserve_with_retries(host.manager, "team-a", 100) == reserve_outcome::reserved);
 }
 
-// A host starts, and another program has written over the newest account of one that it doesn't
-// know yet. That one may hold the whole budget, so none of it is granted again.
-TEST_CASE("a desk that cannot read an account takes no tokens beside it") {
+// A host starts after another program overwrote the newest account of a host that it does not know.
+// That host may hold the whole budget, so none of it is granted again.
+TEST_CASE("a budget manager that cannot read an account takes no tokens beside it") {
   shared_log shared;
   shared.faults = {{account_key("team-a", "other"), "not an account"}};
   manager_fixture host{shared, "desk-10", 1};
@@ -176,9 +176,9 @@
   CHECK(host.manager.totals()["team-a"].granted == 0);
 }
 
-// Two hosts stop one after the other while the other serves. What the first had not used is there
-// for the second.
-TEST_CASE("a host that stops hands its tokens to the others") {
+// One host stops while another serves. The tokens that the first did not use are available to the
+// second.
+TEST_CASE("the unused tokens of a stopped host are available to other hosts") {
   shared_log shared;
   {
     manager_fixture leaving{shared, "desk-4", 1};
@@ -189,9 +189,9 @@
   CHECK(reserve_with_retries(staying.manager, "team-a", 100000) == reserve_outcome::reserved);
 }
 
-// A host ends while the log of the accounts refuses it. Its last line must not say that tokens were
-// handed back.
-TEST_CASE("a desk that could not hand its tokens back says so") {
+// A host exits while the log is unreachable. Its last log line must not say that tokens were
+// returned.
+TEST_CASE("a budget manager that could not return its tokens reports it") {
   shared_log shared;
   manager_fixture a{shared, "a", 1};
   REQUIRE(reserve_with_retries(a.manager, "team-a", 100) == reserve_outcome::reserved);
@@ -200,8 +200,8 @@
   CHECK_FALSE(a.manager.finish(time_ms{1000}));
 }
 
-// Forty hosts ask one holder for more than it has promised, all within a moment. A record for each
-// question would make most appends of all holders fail; some records a second cover them all.
+// Forty hosts ask one holder for more than it has promised at almost the same time. A record per
+// request would make most appends of all holders fail; a few records a second cover them all.
 TEST_CASE("a holder that is asked for more than it promised writes some records a second") {
   shared_log shared;
   manager_fixture host{shared, "desk-6", 1};
@@ -219,10 +219,10 @@
   CHECK(shared.appends <= before + 3 + pauses);
 }
 
-// Two requests of a team come at once to a host that holds nothing. The first has borrowed what it
-// needs and is not awake yet when the second comes. Both borrow, and both are served: were the
-// second to take the first one's tokens, the first would be refused for no reason.
-TEST_CASE("a request does not take what another one has just borrowed") {
+// Two requests of a team arrive at once at a host without tokens. The first has borrowed what it
+// needs but has not woken up when the second arrives. Both borrow and both are served: if the
+// second took the first one's tokens, the first would be refused without reason.
+TEST_CASE("a request does not use tokens that another one has just borrowed") {
   shared_log shared;
   boot_clock since_start;
   fleet_clock time{since_start};
@@ -230,7 +230,7 @@
   metrics figures{"desk-test"};
   entry_faults faults{log, figures};
   prepaid_options options;
-  options.idle_interval = time_ms{50}; // soon notices that the log is away
+  options.idle_interval = time_ms{50}; // notices soon that the log is unavailable
   budget_manager manager{
       {"desk-8", 1, {}}, options, manager_fixture::logs(shared), time, faults, log};
   manager.set_holder_predicate([](const std::string&) { return false; });
@@ -257,9 +257,9 @@
   CHECK(loans == 2);
 }
 
-// All of a team's tokens here are used up, and other hosts still ask for some. No record can
-// promise them anything, so the log is not asked either.
-TEST_CASE("a holder that has nothing left to lend does not turn to the log for it") {
+// A host has used all its tokens of a team, and other hosts still ask for some. No record can
+// promise them anything, so the log is not read for them either.
+TEST_CASE("a holder with nothing left to lend does not read the log for borrowers") {
   shared_log shared;
   manager_fixture host{shared, "desk-9", 1};
   REQUIRE(reserve_with_retries(host.manager, "team-a", 100000) == reserve_outcome::reserved);
@@ -276,8 +276,8 @@
   CHECK(shared.reads.load() <= before + 1 + reports);
 }
 
-// A host has just started and does not know the others yet, so it holds nothing. As soon as it
-// knows that it is a holder it takes tokens, and not when it next looks at the log.
+// A host that has just started does not know the other hosts yet and holds no tokens. It must take
+// tokens as soon as it learns that it is a holder, not only at its next periodic read of the log.
 TEST_CASE("a host that learns that it is a holder takes tokens at once") {
   shared_log shared;
   std::atomic<bool> holds{false};
@@ -302,8 +302,8 @@
   CHECK(shared.appends > 0);
 }
 
-// A host is cut off from the log a moment after its last record, which promised little. A request
-// that could wait for what it promised for later is refused at once.
+// A host is cut off from the log just after its last record, which promised little for that time. A
+// request that can wait for the later part of the promise must not be refused at once.
 TEST_CASE("a request waits for what a host that is cut off promised, as far as it can") {
   shared_log shared;
   manager_fixture host{shared, "desk-10", 1};
@@ -324,8 +324,8 @@
   CHECK_FALSE(host.manager.covered_after("team-a", 200000));
 }
 
-// All hosts start again after another program overwrote an account. The log still keeps the record
-// before it.
+// All hosts restart after another program overwrote an account. The log still retains the previous
+// record.
 TEST_CASE("a host that starts finds the account that was overwritten in the log's history") {
   shared_log shared;
   shared.log.records.push_back(
--- a/tests/prepaid/clocks_test.cpp
+++ b/tests/prepaid/clocks_test.cpp
@@ -10,7 +10,7 @@
   return {time_ms{boot}, time_ms{wall}, from_median};
 }
 
-/// A clock of the machine, and others' times of day relative to its own.
+/// A machine's clocks, and other hosts' times of day relative to its own.
 struct clock_fixture {
   void observe(int host, std::int64_t ahead) {
     clocks.observe("h" + std::to_string(host), wall_time() + time_ms{ahead});
@@ -22,13 +22,13 @@
 
 } // namespace
 
-TEST_CASE("a process that was killed knows how long ago that was at most") {
+TEST_CASE("after a kill the clocks bound the time since then") {
   CHECK(max_elapsed(at(5000, 900000), at(6500, 901500)) == time_ms{1500});
   CHECK(max_elapsed(at(5000, 900000), at(6500, 901600)) == time_ms{1600});
 }
 
-// Power is lost, and the clock since the start begins anew. The time of day may have been set back
-// meanwhile, so more time may have passed than it says.
+// A power loss restarts the boot clock. The time of day may have been set back meanwhile, so more
+// time may have passed than it shows.
 TEST_CASE("after a loss of power the time of day counts, with a margin") {
   const auto passed = max_elapsed(at(5000000, 900000), at(12, 902000));
   REQUIRE(passed.has_value());
@@ -46,15 +46,15 @@
   CHECK(mixed == by_one);
 }
 
-// The time of day was set back by two seconds while the process was down for three: the clock since
-// the machine's start still tells.
+// The time of day was set back by two seconds while the process was down for three: the boot clock
+// still shows the elapsed time.
 TEST_CASE("a time of day that was set back does not shorten the time since a kill") {
   const auto passed = max_elapsed(at(5000, 900000), at(8000, 901000));
   REQUIRE(passed.has_value());
   CHECK(*passed >= time_ms{3000});
 }
 
-TEST_CASE("a time of day far before the last record tells nothing") {
+TEST_CASE("a time of day far before the last record gives no bound") {
   CHECK_FALSE(max_elapsed(at(5000000, 900000), at(12, 800000)).has_value());
 }
 
@@ -65,7 +65,7 @@
   CHECK_FALSE(fixture.clocks.reading().from_median);
 }
 
-// Two of nine machines have had their time of day set; this one is among them. The others outvote
+// The time of day of two of nine machines was set, this one among them. The other clocks outvote
 // both.
 TEST_CASE("a clock that was set does not move the median") {
   clock_fixture fixture;
@@ -79,7 +79,7 @@
   CHECK(off <= time_ms{2100});
 }
 
-TEST_CASE("the start of a life is restated by the clocks known later") {
+TEST_CASE("the start of an incarnation is corrected by the clocks known later") {
   clock_fixture fixture;
   const clock_reading started = fixture.clocks.reading();
   CHECK(fixture.clocks.restated(started) == started);
--- a/tests/prepaid/holder_selection_test.cpp
+++ b/tests/prepaid/holder_selection_test.cpp
@@ -46,8 +46,8 @@
   CHECK(all.size() > 5);
 }
 
-// A host is gone for good. Its partitions get one holder each in its place; all other holders stay.
-TEST_CASE("when a host goes only its own teams get another holder") {
+// A host leaves for good. Each of its partitions gets one other holder; all other holders stay.
+TEST_CASE("when a host leaves only its own teams get another holder") {
   const std::vector<std::string> before = hosts_named(26);
   std::vector<std::string> after = before;
   after.pop_back();
@@ -67,8 +67,8 @@
   CHECK(seen.size() == 4);
 }
 
-// All hosts read the same accounts. If each asked the host that holds most, that one would be asked
-// by all at once and the others by nobody.
+// All hosts read the same accounts. If each asked the host that holds most, all would ask that one
+// at once and none the others.
 TEST_CASE("hosts that hold much and near ones are asked first more often, but not always") {
   random_source random{7};
   std::map<std::string, int> first;
@@ -84,7 +84,7 @@
   CHECK(first["none"] < rounds / 100);
 }
 
-TEST_CASE("every holder has its place in the order") {
+TEST_CASE("the borrowing order contains every holder") {
   random_source random{7};
   const auto order = borrowing_order({{"a", 5}, {"near", 7}, {"b", 9}}, is_near, random);
   REQUIRE(order.size() == 3);
--- a/tests/prepaid/log_model.hpp
+++ b/tests/prepaid/log_model.hpp
@@ -9,8 +9,7 @@
 
 namespace sedgechute {
 
-/// \brief The log as the hosts' records go into it: appends on a condition, answers that are lost,
-/// appends that are carried out late.
+/// \brief Model of the log: conditional appends, lost answers, and appends that are applied late.
 struct log_model {
   struct late_append {
     std::uint64_t at{};
@@ -18,10 +17,10 @@
   };
 
   std::vector<account_record> records;
-  std::vector<late_append> unacknowledged; ///< not answered; may yet be carried out
-  bool ignores_condition{false};           ///< a fault that a test puts in
+  std::vector<late_append> unacknowledged; ///< not answered; may still be applied
+  bool ignores_condition{false};           ///< a fault that a test injects
   std::set<std::uint64_t> unreadable;      ///< offsets of records that another program wrote
-  bool overwritten_frees{false};           ///< a fault: a new life takes no notice of such records
+  bool overwritten_frees{false};           ///< a fault: a new incarnation ignores such records
 
   [[nodiscard]] std::uint64_t end() const { return records.size(); }
 
@@ -38,7 +37,7 @@
     (void)append_at(chosen.at, chosen.records);
   }
 
-  /// \brief Another program writes over a host's account.
+  /// \brief Another program overwrites a host's account.
   void overwrite(const std::string& team, const std::string& host) {
     unreadable.insert(end());
     records.push_back({team, host, {}});
@@ -47,10 +46,10 @@
   void read_into(partition_budgets& budgets, time_ms now) const {
     for (std::uint64_t i = budgets.end(); i < records.size(); ++i)
       read_one(budgets, i, now);
-    budgets.advance(end()); // also where a look finds nothing new
+    budgets.advance(end()); // also if nothing new was read
   }
 
-  /// \brief What a host reads that has just started: the newest record of each host.
+  /// \brief Reads like a host that has just started: the newest record of each host.
   void read_newest_into(partition_budgets& budgets, time_ms now) const {
     std::map<std::string, std::uint64_t> newest;
     for (std::uint64_t i = 0; i < records.size(); ++i)
@@ -60,8 +59,8 @@
     budgets.advance(end());
   }
 
-  /// \brief What a host does that has just started and finds accounts that it cannot read: it
-  /// looks for the last readable ones in the records from `first` on.
+  /// \brief Reads like a host that has just started and finds unreadable accounts: it searches the
+  /// records from `first` on for the last readable ones.
   void read_newest_and_history_into(partition_budgets& budgets, std::uint64_t first,
                                     time_ms now) const {
     for (std::uint64_t i = first; i < records.size(); ++i)
--- a/tests/prepaid/partition_budgets_test.cpp
+++ b/tests/prepaid/partition_budgets_test.cpp
@@ -1,4 +1,4 @@
-// One story each. The random schedules mix them all.
+// Single cases; the random schedules combine them.
 
 #include "log_model.hpp"
 
@@ -11,7 +11,7 @@
 const std::string team = "team-a";
 constexpr std::uint64_t paid = 10000;
 
-/// A machine whose two clocks run alike.
+/// A machine whose two clocks advance equally.
 clock_reading reading(time_ms now) {
   return {now, now + time_ms{1000000}};
 }
@@ -30,7 +30,7 @@
     return true;
   }
 
-  /// Reserves as a request does that may wait for the log.
+  /// Reserves like a request that may wait for the log.
   bool reserve(log_model& log, std::uint64_t bound, time_ms now) {
     if (budgets.reserve(team, paid, bound, now) == reserve_outcome::reserved)
       return true;
@@ -49,8 +49,8 @@
 
 } // namespace
 
-// A team's first request comes to a host that holds nothing. It asks the log and is granted enough
-// for the request and for those that follow; another host still finds tokens.
+// A team's first request arrives at a host without tokens. The host is granted enough for it and
+// for the following ones, and another host still finds tokens.
 TEST_CASE("a host is granted what it needs and leaves the rest to others") {
   log_model log;
   host_model first{"h1", 1};
@@ -62,9 +62,8 @@
   CHECK(first.budgets.granted(team) <= paid);
 }
 
-// A host is killed a second after its last record and is back half a second later. It may have used
-// what that record promised at most in that time, and this counts as used; the rest of what it held
-// is there for it again.
+// A host is killed a second after its last record and restarts half a second later. Whatever the
+// record's promise allowed in that time counts as used; it can use the rest of its tokens again.
 TEST_CASE("what a killed host may have used counts as used when it is back") {
   log_model log;
   host_model before{"h1", 1};
@@ -84,9 +83,9 @@
   CHECK(after.budgets.granted(team) <= paid);
 }
 
-// A host loses power and its clocks tell nothing: the time of day is minutes before its last
-// record. It cannot know what was spent, so all that it held counts as spent.
-TEST_CASE("what a host held counts as spent when no clock tells how long ago that was") {
+// After a power loss the time of day is minutes before the host's last record, so the elapsed time
+// is unknown. All tokens that the host held count as used.
+TEST_CASE("all tokens that a host held count as used when no clock bounds the elapsed time") {
   log_model log;
   host_model before{"h1", 1};
   REQUIRE(before.reserve(log, 500, time_ms{1000}));
@@ -100,10 +99,10 @@
   CHECK(after.budgets.granted(team) <= paid);
 }
 
-// A host is back after a loss of power and knows only its own time of day, which may have been set
-// back. Once other hosts have told theirs, less of what it held counts as used; never more, since
-// tokens have been used by the first bound.
-TEST_CASE("a better clock may free tokens, and never takes any back") {
+// A host restarts after a power loss and knows only its own time of day, which may have been set
+// back. Once other hosts have sent theirs, less of its tokens count as used; never more, since
+// tokens have been used according to the first bound.
+TEST_CASE("a corrected start may free tokens and never takes any back") {
   log_model log;
   host_model before{"h1", 1};
   REQUIRE(before.reserve(log, 500, time_ms{1000}));
@@ -126,8 +125,9 @@
   CHECK(after.budgets.used(team) == later);
 }
 
-// A new life of a host has read its account but not yet written one. An append of the life before
-// may still be carried out and hand tokens back: nothing is used until the log is longer.
+// A new incarnation of a host has read its account but not written one yet. An append of the
+// previous incarnation that returns tokens may still be applied, so nothing is used until the log
+// is longer.
 TEST_CASE("a new life uses nothing before its own record is in the log") {
   log_model log;
   host_model before{"h1", 1};
@@ -144,10 +144,11 @@
   CHECK(after.budgets.granted(team) <= paid);
 }
 
-// The log is away from a new life for some seconds, and its earlier life's promise would have grown
-// meanwhile. What hands the earlier life's tokens back may be under way: by that promise the new
-// life would use what another host is granted.
-TEST_CASE("a new life that waits for its first record uses nothing by its earlier life's promise") {
+// The log is unavailable to a new incarnation for some seconds, in which the promise of the
+// previous one would have grown. The previous incarnation's tokens may have been returned by an
+// append in progress: by its promise the new incarnation would use tokens that another host is
+// granted.
+TEST_CASE("a new incarnation that waits for its first record uses nothing by an earlier promise") {
   log_model log;
   host_model before{"h1", 1};
   REQUIRE(before.reserve(log, 500, time_ms{1000}));
@@ -163,8 +164,9 @@
   CHECK(after.budgets.lend(team, 1, time_ms{10000}) == 0);
 }
 
-// A host holds much and has promised to use little of it soon. A large request is not served before
-// a record promises more; in a cut from the log the promise grows with time.
+// A host holds many tokens but has promised to use few of them soon. A large request is not served
+// before a record promises more; while the host is cut off from the log the promise grows with
+// time.
 TEST_CASE("a host keeps to what its last record promised") {
   log_model log;
   host_model host{"h1", 1};
@@ -183,8 +185,8 @@
   CHECK(host.reserve(log, 2000, time_ms{2010}));
 }
 
-// One host has tokens and no callers, another has callers and no tokens, and the log is away. What
-// is lent counts as used where it was given, and for the borrower's requests it comes first.
+// One host has tokens and no callers, another has callers and no tokens, and the log is
+// unavailable. Lent tokens count as used at the lender, and the borrower's requests use them first.
 TEST_CASE("tokens that are lent count once") {
   log_model log;
   host_model giver{"h1", 1};
@@ -206,8 +208,8 @@
   CHECK(giver.last_record(log).used == 100 + most);
 }
 
-// A host asks another for more than that one has promised to use. Its next record promises more,
-// and the next question is answered in full.
+// A host asks another for more tokens than that one has promised to use. The lender's next record
+// promises more, and the next request is answered in full.
 TEST_CASE("a host that is asked for more than it promised promises more") {
   log_model log;
   host_model giver{"h1", 1};
@@ -233,9 +235,9 @@
   CHECK(asks.budgets.holders("nobody").empty());
 }
 
-// In a large fleet few hosts hold a team's tokens. Another one that could not borrow is granted
-// what its request needs, and hands back what that did not use.
-TEST_CASE("a host that shall not hold a team's tokens keeps none") {
+// In a large fleet few hosts hold a team's tokens. Another host that could not borrow is granted
+// what its request needs, and returns what the request did not use.
+TEST_CASE("a host that does not hold a team's tokens keeps none") {
   log_model log;
   host_model host{"h1", 1};
   host.budgets.set_holder_predicate([](const std::string&) { return false; });
@@ -250,8 +252,8 @@
   CHECK(host.budgets.granted(team) == 300);
 }
 
-// A host stops in good order. What it did not use is back in the budget before it has gone.
-TEST_CASE("a host that leaves hands back what it did not use") {
+// A host stops gracefully and returns its unused tokens to the budget before it exits.
+TEST_CASE("a host that leaves returns its unused tokens") {
   log_model log;
   host_model host{"h1", 1};
   REQUIRE(host.reserve(log, 500, time_ms{20}));
@@ -260,9 +262,9 @@
   CHECK(host.budgets.granted(team) == 320);
 }
 
-// A host hands tokens back, and the answer to that append is lost. The append is carried out
-// seconds later. Meanwhile the host goes on serving: it must not spend what it handed back.
-TEST_CASE("tokens on their way back are not spent while the answer is missing") {
+// The answer to an append that returns tokens is lost, and the append is applied seconds later.
+// Meanwhile the host continues to serve and must not use the returned tokens.
+TEST_CASE("returned tokens are not used while the append is unanswered") {
   log_model log;
   host_model host{"h1", 1};
   REQUIRE(host.reserve(log, 4000, time_ms{20}));
@@ -276,9 +278,9 @@
   CHECK(host.budgets.slack(team, time_ms{9000}) == 0);
 }
 
-// A host hands tokens back and gets no answer. It looks at the log, which has not grown: the append
-// may still be carried out there, so the tokens are not spent.
-TEST_CASE("a look at a log that has not grown frees nothing that is on its way back") {
+// An append that returns tokens is not answered. The host reads the log, which has not grown: the
+// append may still be applied, so the tokens are not used.
+TEST_CASE("reading a log that has not grown frees no returned tokens") {
   log_model log;
   host_model host{"h1", 1};
   REQUIRE(host.reserve(log, 500, time_ms{20}));
@@ -289,9 +291,9 @@
   CHECK(host.budgets.reserve(team, paid, 1, time_ms{40}) != reserve_outcome::reserved);
 }
 
-// The append was never carried out, and another host's record came instead: the log tells, and what
-// the host holds by the log may be spent again.
-TEST_CASE("tokens that were not handed back after all may be spent") {
+// The append was never applied, and another host's record was appended instead. Once the host has
+// read it, it may use the tokens that it holds by the log.
+TEST_CASE("tokens whose return was never appended may be used") {
   log_model log;
   host_model host{"h1", 1};
   host_model other{"h2", 2};
@@ -318,8 +320,8 @@
   CHECK(host.budgets.reserve(team, 2 * paid, 100, time_ms{20}) == reserve_outcome::short_here);
 }
 
-// Every host but one is cut off from the log. The one that is not must not draw the parts of the
-// others, who go on using theirs and come back short.
+// All hosts but one are cut off from the log. The remaining one must not take the shares of the
+// others, which continue to use theirs and would lack tokens on their return.
 TEST_CASE("a host that is cut off keeps its part of a budget") {
   log_model log;
   host_model near{"h1", 1};
@@ -332,8 +334,9 @@
   CHECK(held.slack() <= paid / 2);
 }
 
-// In a large fleet most hosts borrow from a few, and each question is for a whole request. A holder
-// that promises less than one in its records answers each with a part, and writes a record for it.
+// In a large fleet most hosts borrow from a few, and each asks for a whole request. A holder that
+// promises less than one request in its records answers each with a part, and writes a record for
+// it.
 TEST_CASE("a holder that others borrow from lends some whole requests between two records") {
   log_model log;
   host_model holder{"h1", 1};
@@ -347,8 +350,8 @@
   CHECK(holder.budgets.lend(team, 300, time_ms{6000}) == 300);
 }
 
-// On nine hosts each holds its part and nobody borrows. What a host promises is lost when it is
-// killed, so it promises little.
+// With nine hosts each holds its share and none borrows. Promised tokens are lost when a host is
+// killed, so it promises few.
 TEST_CASE("a holder that nobody borrows from promises no requests for others") {
   log_model log;
   host_model holder{"h1", 1};
@@ -359,8 +362,8 @@
   CHECK(written.burst < written.slack() / 20);
 }
 
-// Near the end of a budget a holder has less than some requests. It still promises a part only:
-// what it promised is lost when it is killed.
+// Near the end of a budget a holder has fewer tokens than some requests need. It still promises
+// only a part of them, since promised tokens are lost when it is killed.
 TEST_CASE("what a holder promises for others is a part of what it holds") {
   log_model log;
   host_model holder{"h1", 1};
@@ -374,9 +377,9 @@
   CHECK(written.burst <= written.slack() / 3);
 }
 
-// All hosts lost power and start at once. One of them held nothing of the team's. It has nothing to
-// tell, and leaves the log to those that must write before they can lend.
-TEST_CASE("a new life that may use nothing writes nothing") {
+// All hosts restart at once after a power loss. One that held no tokens of the team has nothing to
+// write and leaves the log to the hosts that must write before they can lend.
+TEST_CASE("a new incarnation without usable tokens writes nothing") {
   log_model log;
   log.records.push_back({team, "h1", {.incarnation = 1, .granted = 500, .used = 500}});
   host_model borrower{"h1", 2};
@@ -390,7 +393,7 @@
   CHECK(holder.budgets.needs_prompt_sync());
 }
 
-// A host is cut off, and other requests use what it promised first.
+// A host is cut off, and other requests use the first part of its promise.
 TEST_CASE("a host that is cut off says when its promise covers a request beside those that run") {
   log_model log;
   host_model host{"h1", 1};
--- a/tests/prepaid/prepaid_schedule_test.cpp
+++ b/tests/prepaid/prepaid_schedule_test.cpp
@@ -1,8 +1,7 @@
-// Random schedules of hosts over one log: requests, reports, answers that are lost, appends that
-// are carried out late, kills, losses of power, times of day that jump, restarts, stops in good
-// order, loans between hosts and what is given back of them, whose messages are lost, late or
-// doubled, raised budgets. The one thing that must hold: what callers were given never exceeds what
-// was paid.
+// Random schedules of hosts over one log: requests, reports, lost answers, late appends, kills,
+// power losses, jumps of the time of day, restarts, graceful stops, raised budgets, and loans and
+// their returns with lost, late and duplicate messages. Invariant: the tokens given to callers
+// never exceed the tokens paid for.
 
 #include "log_model.hpp"
 
@@ -19,42 +18,43 @@
 const std::string team = "team-a";
 constexpr std::size_t hosts = 4;
 constexpr int steps = 400;
-constexpr std::size_t most_loans = 12; // few, so that some are forgotten
+constexpr std::size_t most_loans = 12; // small, so that some loans are forgotten
 
-/// Faults that a schedule must find.
+/// Injected faults that the schedules must find.
 enum class mutation {
   none,
   restart_keeps_tokens,
   lost_append_counts,
   condition_ignored,
-  elapsed_forgotten,        ///< a new life takes less time to have passed than has
-  loan_counted_twice,       ///< lent tokens stay with who lent them
-  overwritten_frees,        ///< an account that another program overwrote counts as empty
-  return_kept,              ///< what is given back stays with who gives it back
-  return_credited_twice,    ///< whatever is returned is credited, also again or to a later life
-  return_credited_unbounded ///< more is credited than was lent
+  elapsed_forgotten,        ///< a new incarnation underestimates the elapsed time
+  loan_counted_twice,       ///< lent tokens stay usable at the lender
+  overwritten_frees,        ///< an overwritten account counts as empty
+  return_kept,              ///< returned tokens stay usable at the borrower
+  return_credited_twice,    ///< every return is credited, also duplicates and those to a later
+                            ///< incarnation
+  return_credited_unbounded ///< more tokens are credited than were lent
 };
 
-/// What a schedule has more of.
+/// Events that a schedule favours.
 enum class workload {
   even,
-  others_write, ///< other programs overwrite accounts, and new lives read only the newest records
-  in_turns,     ///< one host acts for a while and the log rests; looks at it, without a report
+  others_write, ///< other programs overwrite accounts, and new incarnations read the newest records
+  in_turns,     ///< one host acts for a while, and reads the log without reporting
 };
 
-/// What a host is told about a loan.
+/// A message about a loan.
 struct message {
-  bool returned{false}; ///< else given
+  bool returned{false}; ///< else lent
   std::size_t from{};
   std::size_t to{};
   std::uint64_t number{};
   std::uint64_t tokens{};
 };
 
-/// The clocks of one machine: one since its start, and a time of day that may be set.
+/// A machine's clocks: the boot clock, and a time of day that may be set.
 struct machine {
   time_ms started;    ///< by true time
-  time_ms wall_error; ///< how far its time of day is off
+  time_ms wall_error; ///< error of its time of day
 
   [[nodiscard]] clock_reading reading(time_ms now) const {
     return {now - started, time_ms{1000000000} + now + wall_error, false};
@@ -76,7 +76,7 @@
       start(i);
   }
 
-  /// \returns tokens given above what was paid
+  /// \returns tokens given to callers beyond those paid for
   [[nodiscard]] std::uint64_t run() {
     for (int i = 0; i < steps && spent_ <= paid_; ++i)
       step();
@@ -161,7 +161,7 @@
     return turn_;
   }
 
-  // The callers of a killed host have had whatever it gave them: all its open requests count whole.
+  // The callers of a killed host may have received everything: its open requests count entirely.
   void kill(std::size_t host) {
     if (random_.below(kill_odds_) != 0)
       return;
@@ -169,14 +169,14 @@
       if (one.host == host)
         spent_ += one.bound;
     std::erase_if(open_, [&](const open_request& one) { return one.host == host; });
-    if (random_.below(2) == 0) // it lost power: its clock since the start begins anew
+    if (random_.below(2) == 0) // a power loss, which restarts the boot clock
       machines_[host].started = now_ - time_ms{static_cast<std::int64_t>(random_.below(500))};
     now_ += time_ms{static_cast<std::int64_t>(random_.below(2000))};
     start(host);
   }
 
-  // At the end all that any host can use is used, in small requests: what was credited and should
-  // not have been shows only then.
+  // At the end all hosts use all tokens that they can, in small requests: tokens that were credited
+  // by mistake show only then.
   void spend_remaining() {
     for (int round = 0; round < 20; ++round) {
       now_ += time_ms{600};
@@ -229,7 +229,7 @@
       open_.push_back({host, bound});
   }
 
-  // For some seconds the log is away, and a host uses what it holds and promised.
+  // The log is unavailable for some seconds, and a host uses the tokens that it holds and promised.
   void cut_off(std::size_t host) {
     for (int i = 0; i < 20; ++i) {
       now_ += time_ms{static_cast<std::int64_t>(random_.below(600))};
@@ -277,7 +277,7 @@
     }
   }
 
-  // What is not lost comes now, later, or now and again later.
+  // A message that is not lost arrives now, later, or now and again later.
   void send(const message& one) {
     if (random_.below(loss_odds_) == 0)
       return;
@@ -302,7 +302,7 @@
     if (one.returned)
       return take_back(one);
     if (std::erase(asked_[one.to], one.number) == 0 || one.tokens == 0)
-      return; // no question of this life, or answered
+      return; // no open request of this incarnation
     borrowed_[one.to].note(team, {std::to_string(one.from), one.number, one.tokens});
     budgets_[one.to]->receive(team, one.tokens);
   }
@@ -324,13 +324,13 @@
     if (records.empty())
       return;
     switch (random_.below(4)) {
-    case 0: // the answer is lost, and the append may come late
+    case 0: // the answer is lost, and the append may be applied late
       log_.unacknowledged.push_back({at, records});
       if (fault_ == mutation::lost_append_counts)
         for (const account_record& record : records)
           budgets.apply(record, budgets.end(), boot(host));
       return;
-    case 1: // done, but the answer is lost
+    case 1: // applied, but the answer is lost
       (void)log_.append_at(at, records);
       return;
     default:
@@ -340,18 +340,18 @@
   }
 
   random_source random_;
-  std::uint64_t kill_odds_{2 + random_.below(12)}; ///< times that a host may be killed
-  std::uint64_t loss_odds_{3 + random_.below(30)}; ///< messages
+  std::uint64_t kill_odds_{2 + random_.below(12)}; ///< one in so many chances to be killed is taken
+  std::uint64_t loss_odds_{3 + random_.below(30)}; ///< one message in so many is lost
   mutation fault_;
   workload workload_;
-  std::size_t turn_{0}; ///< whose turn it is
+  std::size_t turn_{0}; ///< host whose turn it is
   log_model log_;
   std::unique_ptr<partition_budgets> budgets_[hosts];
   machine machines_[hosts];
   std::vector<lent_ledger> lent_{hosts, lent_ledger{most_loans}};
   std::vector<borrowed_ledger> borrowed_{hosts, borrowed_ledger{most_loans}};
-  std::vector<std::uint64_t> asked_[hosts]; ///< questions of this life without an answer
-  std::vector<message> messages_;           ///< that may yet come, or come again
+  std::vector<std::uint64_t> asked_[hosts]; ///< unanswered requests of this incarnation
+  std::vector<message> messages_;           ///< may still arrive, or arrive again
   std::uint64_t questions_{0};
   std::vector<open_request> open_;
   std::uint64_t incarnations_{0};
@@ -360,7 +360,7 @@
   time_ms now_{100000};
 };
 
-/// \returns the first seed that shows tokens above the budget; 0 when none does
+/// \returns the first seed whose schedule exceeds the budget, or 0
 std::uint64_t first_failure(mutation fault, std::uint64_t seeds, workload of = workload::even) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     if (schedule{seed, fault, of}.run() > 0)
@@ -384,7 +384,7 @@
   CHECK(spent / 50 > 4000);
 }
 
-// Other programs write over the accounts of hosts that run, are away, or start again.
+// Other programs overwrite the accounts of hosts that run, are cut off, or restart.
 TEST_CASE("no schedule in which accounts are overwritten gives a team more than it paid for") {
   CHECK(first_failure(mutation::none, 4000, workload::others_write) == 0);
 }
@@ -399,8 +399,8 @@
   CHECK(spent / 50 > 2000);
 }
 
-// A host's append is not answered, and nobody else writes. It looks at the log again and again, and
-// goes on by what it finds.
+// A host's append is not answered, and no other host writes. The host reads the log again and
+// again, and continues with what it finds.
 TEST_CASE("no schedule in which hosts act in turns gives a team more than it paid for") {
   CHECK(first_failure(mutation::none, 4000, workload::in_turns) == 0);
 }
@@ -419,12 +419,12 @@
   CHECK(first_failure(mutation::overwritten_frees, 4000, workload::others_write) != 0);
 }
 
-// The schedules are worth something only if they find faults of the kinds they are there for.
-TEST_CASE("schedules find a slice that counts as unspent after a restart") {
+// The schedules are useful only if they find the kinds of faults that they are written for.
+TEST_CASE("schedules find grants that count as unused after a restart") {
   CHECK(first_failure(mutation::restart_keeps_tokens, 4000) != 0);
 }
 
-TEST_CASE("schedules find an append that is taken for granted") {
+TEST_CASE("schedules find a lost append that counts as applied") {
   CHECK(first_failure(mutation::lost_append_counts, 4000) != 0);
 }
 
@@ -432,7 +432,7 @@
   CHECK(first_failure(mutation::condition_ignored, 4000) != 0);
 }
 
-TEST_CASE("schedules find a new life that forgets how long the one before could go on") {
+TEST_CASE("schedules find a new incarnation that underestimates the elapsed time") {
   CHECK(first_failure(mutation::elapsed_forgotten, 4000) != 0);
 }
 
@@ -440,7 +440,7 @@
   CHECK(first_failure(mutation::loan_counted_twice, 4000) != 0);
 }
 
-TEST_CASE("schedules find tokens that are given back and used all the same") {
+TEST_CASE("schedules find returned tokens that stay usable") {
   CHECK(first_failure(mutation::return_kept, 4000) != 0);
 }
 
--- a/tests/prepaid/promise_policy_test.cpp
+++ b/tests/prepaid/promise_policy_test.cpp
@@ -1,4 +1,5 @@
-// What hosts promise to use at most between two records, and the loads that it answers.
+// What hosts promise to use at most between two records, under the loads that the policy is made
+// for.
 
 #include "log_model.hpp"
 
@@ -19,7 +20,7 @@
 constexpr time_ms step{20};
 constexpr time_ms between_reports{500};
 
-// Three kinds of requests, as a part of all: large ones are a quarter, and use most of the tokens.
+// Three kinds of requests: the large ones are a quarter of all and use most of the tokens.
 std::uint64_t draw_bound(random_source& random) {
   const double kind = random.unit();
   const double size = 0.6 + 0.8 * random.unit();
@@ -27,7 +28,7 @@
   return static_cast<std::uint64_t>(mean * size);
 }
 
-/// Hosts of one team, over a log that can be away, whose callers ask for tokens at random.
+/// Hosts that serve one team's random requests over a log that can be unavailable.
 class fleet {
  public:
   explicit fleet(std::uint64_t seed, const prepaid_options& options = {})
@@ -41,7 +42,7 @@
     int refused{0};
   };
 
-  /// \param per_second  requests of the team, over all hosts
+  /// \param per_second  requests of the team per second, over all hosts
   counts run(time_ms span, double per_second, bool log_answers) {
     counts seen;
     for (const time_ms until = now_ + span; now_ < until; now_ += step) {
@@ -54,8 +55,8 @@
     return seen;
   }
 
-  /// \brief All hosts are killed, and start again after a while.
-  /// \returns tokens that count as used though they were not
+  /// \brief Kills all hosts and restarts them after a while.
+  /// \returns tokens that count as used although they were not
   std::uint64_t kill_all(time_ms away) {
     now_ += away;
     std::uint64_t counted = 0;
@@ -142,16 +143,17 @@
 }
 
 // Early in a day all hosts are cut off from the log and from each other for eight seconds, and
-// serve from what each holds and promised. A promise of half the rate refuses what comes at first.
-TEST_CASE("hosts that are cut off while a budget lasts refuse less than by half their rates") {
+// serve what each holds and has promised. With a promise of half the rate the first requests are
+// refused.
+TEST_CASE("hosts that are cut off refuse less than with promises of half their rates") {
   prepaid_options half;
   half.pace_factor = 0.5;
   half.full_use_within = time_ms{1000000};
   CHECK(refused_during_outage({}) * 3 <= refused_during_outage(half) * 2);
 }
 
-// All hosts are killed when most of a budget is used. What they had promised and not used is lost:
-// much of it would end the budget of a team that has paid for more.
+// All hosts are killed when most of a budget is used. Tokens that they had promised and not used
+// are lost: too many would exhaust the budget of a team that has paid for more.
 TEST_CASE("a kill of all hosts near the end of a budget loses little of it") {
   std::uint64_t lost = 0;
   constexpr std::uint64_t seeds = 40;
@@ -184,7 +186,7 @@
   CHECK(near_the_end.outage_pace <= at_first.outage_pace);
 }
 
-// Other hosts ask for whole requests: a lead that is smaller than one lends nothing.
+// Other hosts ask for whole requests: a burst smaller than one request lends nothing useful.
 TEST_CASE("a host that others borrow from promises whole requests") {
   const promise_inputs demand{.unused = 100000,
                               .rate = 5000,
@@ -194,7 +196,8 @@
   CHECK(make_promise(demand, prepaid_options{}).burst >= 8000);
 }
 
-// The wait of a request that is told to come back, or held: too short, and it is refused again.
+// A request waits, or its caller retries, after this time: if it were too short, the request would
+// be refused again.
 TEST_CASE("tokens are covered when the host says so, and no sooner") {
   random_source random{7};
   for (int i = 0; i < 2000; ++i) {
@@ -218,9 +221,9 @@
   }
 }
 
-// Ten hosts lend to 295 what a large team uses: 840,000 tokens a second, of a budget of which most
-// is used up. A promise that shrinks with what is left covers a part of what is asked for until the
-// next record, and callers were refused although their budget had a sixth left.
+// Ten hosts lend to 295 what a large team uses, 840,000 tokens a second, of a budget that is mostly
+// used. A promise that shrinks with the budget covered only a part of the demand until the next
+// record, and callers were refused although a sixth of the budget was left.
 TEST_CASE("a host that is asked for more than it promised promises more with its next record") {
   const prepaid_options options{};
   promise_inputs demand{.unused = 760000,
@@ -239,8 +242,8 @@
         options.max_loan_burst_fraction * demand.unused);
 }
 
-// The same load on the book of one of ten holders: seven requests a second are asked for, a record
-// comes each 700 ms.
+// The same load on the budgets of one of ten holders: seven requests a second, and a record each
+// 700 ms.
 int covered_requests(const prepaid_options& options) {
   constexpr std::uint64_t budget = 51000000;
   constexpr std::uint64_t request = 12000;
--- a/tests/prepaid/token_loans_test.cpp
+++ b/tests/prepaid/token_loans_test.cpp
@@ -14,7 +14,7 @@
 
 const std::string team = "team-a";
 
-/// A log that only one desk knows.
+/// A log that only one budget manager uses.
 class private_log final : public account_log {
  public:
   account_page newest() override { return read(0); }
@@ -93,7 +93,7 @@
     return taker_.loans.borrow({team, tokens, "id-1"}, {{"giver", 1000}});
   }
 
-  /// \returns what the giver lent and did not get back
+  /// \returns tokens that the giver lent and that were not returned
   [[nodiscard]] std::uint64_t lent() { return giver_.manager.totals()[team].lent; }
 
  private:
@@ -128,8 +128,8 @@
   }
 }
 
-// One host has tokens, the other has the callers. What is lent leaves the one and is there for the
-// other.
+// One host has tokens, the other has callers. Lent tokens leave the lender and are usable at the
+// borrower.
 TEST_CASE("a host lends what another needs") {
   two_hosts hosts;
   const std::uint64_t before = hosts.giver().manager.totals()[team].slack;
@@ -139,14 +139,14 @@
   CHECK(hosts.taker().manager.totals()[team].slack >= held + 100);
 }
 
-TEST_CASE("nobody lends more than it may use") {
+TEST_CASE("a host lends no more than it may use") {
   two_hosts hosts;
   CHECK(hosts.borrow(1000000) <= 100000);
 }
 
-// The host that is asked has been cut off. The request is not kept waiting, and the next one does
-// not ask there again at once.
-TEST_CASE("a host that does not answer is left alone for a while") {
+// The host that is asked is cut off. The request does not wait for it, and the next request does
+// not ask it again at once.
+TEST_CASE("a host that does not answer is not asked again for a while") {
   two_hosts hosts;
   hosts.questions_lost = true;
   CHECK(hosts.borrow(100) == 0);
@@ -154,9 +154,9 @@
   CHECK(hosts.borrow(100) == 0);
 }
 
-// The answer is late: who waited for it has given up. Its tokens count as used at the other host,
-// and nobody uses them here, so they go back there; only once though the answer comes twice.
-TEST_CASE("an answer that comes late sends its tokens back once") {
+// An answer arrives after its request has given up. Its tokens count as used at the lender and no
+// request uses them here, so they are returned; only once, although the answer arrives twice.
+TEST_CASE("a late answer returns its tokens once") {
   two_hosts hosts;
   hosts.answers_lost = true;
   CHECK(hosts.borrow(100) == 0);
@@ -172,9 +172,9 @@
   CHECK(hosts.lent() == 60);
 }
 
-// A request borrowed what it may use at most, and used less. What it left goes back to the lender;
-// the message that says so comes again, after other loans, and brings nothing more.
-TEST_CASE("what a request borrowed and did not use goes back once") {
+// A request borrows the most that it may use, and uses less. The rest is returned to the lender; a
+// duplicate of the return message, after other loans, credits nothing more.
+TEST_CASE("unused borrowed tokens are returned once") {
   two_hosts hosts;
   REQUIRE(hosts.borrow(100) == 100);
   CHECK(hosts.lent() == 100);
@@ -187,9 +187,9 @@
   CHECK(hosts.lent() == 230);
 }
 
-// A message gives more back than was lent. Nobody counted the rest as used before, so what another
-// loan still uses would look free.
-TEST_CASE("no more is taken back than a loan had") {
+// A message returns more tokens than were lent. The excess was never counted as used, so tokens
+// that another loan still uses would look free.
+TEST_CASE("a return credits at most the tokens of its loan") {
   two_hosts hosts;
   REQUIRE(hosts.borrow(100) == 100);
   REQUIRE(hosts.taker().manager.reserve(team, 100) == reserve_outcome::reserved);
@@ -205,7 +205,8 @@
   CHECK(hosts.lent() == 100);
 }
 
-// A host stops while a request runs on what it borrowed. When that ends, its rest goes back too.
+// A host stops while a request uses borrowed tokens. When the request ends, the rest is returned
+// too.
 TEST_CASE("a host that stops gives back what others lent it") {
   two_hosts hosts;
   REQUIRE(hosts.borrow(100) == 100);
@@ -215,9 +216,9 @@
   CHECK(hosts.lent() == 30);
 }
 
-// The message that gives tokens back is lost. They count as used where they were lent, and are not
-// used where they were borrowed.
-TEST_CASE("tokens whose return is lost are used by nobody") {
+// The message that returns tokens is lost. They count as used at the lender and are not used at the
+// borrower.
+TEST_CASE("tokens whose return is lost are used by no host") {
   two_hosts hosts;
   hosts.returns_lost = true;
   REQUIRE(hosts.borrow(100) == 100);
@@ -227,9 +228,9 @@
   CHECK(hosts.lent() == 100);
 }
 
-// Two requests of a team run at once. The one that ends gives nothing back that the other waits
+// Two requests of a team run at once. The one that ends must not return tokens that the other waits
 // for.
-TEST_CASE("what a request is waiting for is not given back when another ends") {
+TEST_CASE("tokens that a request waits for are not returned when another ends") {
   partition_budgets budgets{"taker", 1, {}, prepaid_options{}};
   budgets.begin_borrowing(team, 100);
   budgets.receive(team, 60);
@@ -240,8 +241,9 @@
   CHECK(budgets.idle_loans(team) == 0);
 }
 
-// A datagram with a question comes twice. A second loan would be lost: its answer is not expected.
-TEST_CASE("a question that comes twice is answered alike and lends once") {
+// A loan request arrives twice. The tokens of a second loan would be lost, since its answer is not
+// expected.
+TEST_CASE("a duplicate loan request gets the same answer and lends once") {
   two_hosts hosts;
   const std::string question = encode_loan({loan_step::asked, 9, 50, "taker", team});
   REQUIRE(hosts.giver().loans.handle(question));
@@ -250,7 +252,7 @@
   CHECK(hosts.lent() == lent);
 }
 
-TEST_CASE("an answer to no question brings nothing") {
+TEST_CASE("an answer without a request credits nothing") {
   two_hosts hosts;
   const std::uint64_t held = hosts.taker().manager.totals()[team].slack;
   REQUIRE(hosts.taker().loans.handle(
@@ -259,9 +261,10 @@
   CHECK_FALSE(hosts.taker().loans.handle("garbage"));
 }
 
-// An answer names more tokens than were asked for. Nobody counts them as used, so the team could
-// use more than it paid for.
-TEST_CASE("an answer of more than was asked for brings nothing, and the right one still does") {
+// An answer has more tokens than were requested. No host counts the excess as used, so the team
+// could use more than it paid for.
+TEST_CASE(
+    "an answer with more tokens than requested credits nothing, and the correct one still does") {
   two_hosts hosts;
   hosts.answers_lost = true;
   CHECK(hosts.borrow(100) == 0);
@@ -274,6 +277,6 @@
   CHECK(hosts.taker().manager.totals()[team].slack < held + 100000);
   CHECK(hosts.lent() == 100);
   REQUIRE(hosts.taker().loans.handle(hosts.last_answer));
-  CHECK(hosts.taker().manager.idle_loans(team) == 0); // nobody waits for them any more
+  CHECK(hosts.taker().manager.idle_loans(team) == 0); // no request waits for them any more
   CHECK(hosts.lent() == 0);
 }
--- a/tests/prepaid/token_wait_test.cpp
+++ b/tests/prepaid/token_wait_test.cpp
@@ -1,4 +1,4 @@
-// When a request waits for tokens, and for what.
+// Whether a request waits for tokens, and for the log or for its host's promise.
 
 #include "prepaid/impl/token_wait.hpp"
 
@@ -31,8 +31,9 @@
   CHECK_FALSE(wait->for_log);
 }
 
-// Waits for the log and for the promise add up, and a request is answered after its target.
-TEST_CASE("patience counts from when a request began to wait") {
+// If the limit counted anew, waits for the log and for the promise would add up, and a request
+// would be answered after its latency target.
+TEST_CASE("the limit for the promise counts from the start of the wait") {
   CHECK_FALSE(plan_token_wait({.now = now,
                                .began = now - time_ms{200},
                                .covered_after = time_ms{101},
--- a/tests/prepaid/unreadable_account_test.cpp
+++ b/tests/prepaid/unreadable_account_test.cpp
@@ -1,4 +1,4 @@
-// Records among the accounts that another program wrote over those of hosts.
+// Accounts of hosts that another program overwrote.
 
 #include "log_model.hpp"
 
@@ -29,7 +29,7 @@
   return true;
 }
 
-/// Grants a host what a request of so many tokens needs.
+/// Grants a host the tokens that a request needs.
 void grant(partition_budgets& budgets, log_model& log, std::uint64_t tokens, time_ms now) {
   budgets.begin_waiting(team, tokens);
   REQUIRE(report(budgets, log, now));
@@ -38,9 +38,9 @@
 
 } // namespace
 
-// A host holds most of a budget, and another program overwrites its account. Another host must go
-// on counting what it knew: else the same tokens are granted twice, and the team uses more than it
-// paid for.
+// A host holds most of a budget, and another program overwrites its account. Other hosts must keep
+// counting the last known account: otherwise the tokens are granted twice, and the team uses more
+// than it paid for.
 TEST_CASE("an account that is overwritten stays granted to its host") {
   log_model log;
   partition_budgets first = book_of("h1", 1);
@@ -56,9 +56,8 @@
   CHECK(second.granted(team) <= paid);
 }
 
-// A host starts, and the newest record under another host's key cannot be read. What that one holds
-// is not known: it may be all that nobody else holds. Nothing is granted until its owner has
-// written again.
+// A host starts, and the newest record under another host's key is unreadable. That host may hold
+// all tokens that no other host holds, so nothing is granted until it has written again.
 TEST_CASE("a host that has just started grants nothing beside an account that it cannot read") {
   log_model log;
   partition_budgets owner = book_of("h1", 1);
@@ -72,7 +71,7 @@
   CHECK(started.plan({{team, paid}}, reading(time_ms{1100}), false).empty());
   started.end_waiting(team, 100);
   CHECK(started.reserve(team, paid, 100, time_ms{1100}) == reserve_outcome::short_here);
-  started.receive(team, 100); // what others lend can be used
+  started.receive(team, 100); // borrowed tokens can be used
   CHECK(started.reserve(team, paid, 100, time_ms{1100}) == reserve_outcome::reserved);
   owner.note_unreadable(team, "h1", time_ms{1150});
   REQUIRE(report(owner, log, time_ms{1200}));
@@ -82,8 +81,8 @@
   CHECK(started.grantable(team, paid, paid - held));
 }
 
-// A host's own account was overwritten or dropped while it runs. It writes it again at once, and
-// once: others, and its next life, know it only from there.
+// A running host's own account is overwritten or deleted. The host writes it again at once, and
+// only once, since other hosts and its next incarnation know it only from the log.
 TEST_CASE("a host writes its account again when another program overwrote it") {
   log_model log;
   partition_budgets host = book_of("h1", 1);
@@ -91,7 +90,7 @@
   REQUIRE(report(host, log, time_ms{1010}));
   const std::size_t written = log.records.size();
   REQUIRE(report(host, log, time_ms{1020}));
-  REQUIRE(log.records.size() == written); // nothing new to tell
+  REQUIRE(log.records.size() == written); // nothing new to write
   host.note_unreadable(team, "h1", time_ms{1025});
   REQUIRE(report(host, log, time_ms{1030}));
   CHECK(log.records.size() == written + 1);
@@ -100,9 +99,9 @@
   CHECK(log.records.size() == written + 1);
 }
 
-// A host is killed, its account is overwritten, and it starts again. What its earlier life was
-// granted and may have used is not known: it must not write an account that says nothing of it.
-TEST_CASE("a host that cannot read what its earlier life left writes nothing over it") {
+// A host is killed, its account is overwritten, and the host restarts. What its earlier incarnation
+// was granted and may have used is unknown, so it must not write an account that omits this.
+TEST_CASE("a host that cannot read its own earlier account does not overwrite it") {
   log_model log;
   partition_budgets host = book_of("h1", 2, time_ms{5000});
   host.note_unreadable(team, "h1", time_ms{5000});
@@ -112,9 +111,9 @@
   CHECK_FALSE(host.grantable(team, paid, 1));
 }
 
-// All hosts start again after an account was overwritten, and none knows it: the team would never
-// be granted anything again, also not of what is paid later.
-TEST_CASE("an account that nobody knows is written off by its owner") {
+// All hosts restart after an account was overwritten, and none knows it: without a write-off the
+// team would never be granted tokens again, not even those paid for later.
+TEST_CASE("an account that no host knows is written off by its owner") {
   log_model log;
   log.overwrite(team, "h1");
   partition_budgets owner = book_of("h1", 2, time_ms{5000});
@@ -137,8 +136,9 @@
   CHECK(other.granted(team) <= raised);
 }
 
-// The host whose account was overwritten never comes back.
-TEST_CASE("an account that nobody knows is written off by another host when its owner stays away") {
+// The host whose account was overwritten never returns.
+TEST_CASE(
+    "an account that no host knows is written off by another host when its owner stays away") {
   log_model log;
   log.overwrite(team, "h1");
   partition_budgets other = book_of("h2", 3, time_ms{5000});
@@ -149,7 +149,7 @@
   CHECK(other.used(team) == paid);
 }
 
-// The owner was only cut off, and comes back with tokens in use after another host wrote them off.
+// The owner was only cut off, and returns with tokens in use after another host wrote them off.
 TEST_CASE("an owner that returns to an account written off by another uses nothing of it twice") {
   log_model log;
   partition_budgets owner = book_of("h1", 1);
