--- a/src/prepaid/impl/budget_manager.cpp
+++ b/src/prepaid/impl/budget_manager.cpp
@@ -50,7 +50,8 @@
   std::unique_lock lock{mutex_};
   stopping_ = true;
   wake_.notify_all();
-  return synced_.wait_for(lock, to_chrono(most), [this] { return ended_; }) && handed_back_;
+  return synced_.wait_for(lock, to_chrono(most), [this] { return ended_; }) &&
+         final_sync_succeeded_;
 }
 
 void budget_manager::set_prepaid(std::map<std::string, std::uint64_t> prepaid) {
--- a/src/prepaid/impl/budget_manager.hpp
+++ b/src/prepaid/impl/budget_manager.hpp
@@ -173,7 +173,7 @@
   bool reachable_{false};
   bool stopping_{false};
   bool ended_{false};
-  bool handed_back_{false}; ///< the final synchronization of all partitions succeeded
+  bool final_sync_succeeded_{false}; ///< the final synchronization of all partitions succeeded
   std::thread sync_thread_;
 };
 
--- a/src/prepaid/impl/budget_sync.cpp
+++ b/src/prepaid/impl/budget_sync.cpp
@@ -68,7 +68,7 @@
     answered = try_sync(*part, true) && answered;
   lock.lock();
   ended_ = true;
-  handed_back_ = answered;
+  final_sync_succeeded_ = answered;
   synced_.notify_all();
 }
 
--- a/src/prepaid/impl/token_loans.hpp
+++ b/src/prepaid/impl/token_loans.hpp
@@ -45,7 +45,7 @@
   using sender = std::function<bool(const std::string& host, std::string_view bytes)>;
   using near_predicate = std::function<bool(const std::string& host)>;
 
-  /// \param desk  must not have been started
+  /// \param manager  must not have been started
   /// \param is_near  whether a host is in this host's data centre
   token_loans(std::string self, budget_manager& manager, sender send, near_predicate is_near,
               const loan_options& options, const clock& time, structured_log& log);
--- a/tests/prepaid/log_model.hpp
+++ b/tests/prepaid/log_model.hpp
@@ -31,7 +31,7 @@
     return true;
   }
 
-  void carry_out(std::size_t index) {
+  void apply_late(std::size_t index) {
     const late_append chosen = unacknowledged[index];
     unacknowledged.erase(unacknowledged.begin() + static_cast<std::ptrdiff_t>(index));
     (void)append_at(chosen.at, chosen.records);
--- a/tests/prepaid/partition_budgets_test.cpp
+++ b/tests/prepaid/partition_budgets_test.cpp
@@ -352,7 +352,7 @@
 
 // With nine hosts each holds its share and none borrows. Promised tokens are lost when a host is
 // killed, so it promises few.
-TEST_CASE("a holder that nobody borrows from promises no requests for others") {
+TEST_CASE("a holder that no host borrows from promises no requests for others") {
   log_model log;
   host_model holder{"h1", 1};
   for (int i = 0; i < 4; ++i)
--- a/tests/prepaid/prepaid_schedule_test.cpp
+++ b/tests/prepaid/prepaid_schedule_test.cpp
@@ -118,7 +118,7 @@
       return settle_one();
     case 2:
       if (!log_.unacknowledged.empty())
-        log_.carry_out(random_.below(log_.unacknowledged.size()));
+        log_.apply_late(random_.below(log_.unacknowledged.size()));
       return;
     case 3:
       if (random_.below(6) == 0)
@@ -340,7 +340,7 @@
   }
 
   random_source random_;
-  std::uint64_t kill_odds_{2 + random_.below(12)}; ///< one in so many chances to be killed is taken
+  std::uint64_t kill_odds_{2 + random_.below(12)}; ///< a host is killed at one in so many chances
   std::uint64_t loss_odds_{3 + random_.below(30)}; ///< one message in so many is lost
   mutation fault_;
   workload workload_;
