--- a/bench/pool/impl/own_policies.cpp
+++ b/bench/pool/impl/own_policies.cpp
@@ -115,7 +115,7 @@
                                       std::span<const engine_view> engines) override {
     host& at = hosts_.at(request.what->host);
     const time_ms now{static_cast<std::int64_t>(now_ms())};
-    const auto starts = shared_starts(request.what->terms);
+    const auto starts = shared_prefixes(request.what->terms);
     const auto unread = [&](std::uint32_t engine) {
       return request.what->prompt_tokens - at.starts.tokens_at(starts, engine, now);
     };
@@ -130,7 +130,7 @@
     at.open[chosen->engine] += 1;
     at.unread[chosen->engine] += unread(chosen->engine);
     at.sent_since[chosen->engine] += 1;
-    for (const prompt_start& start : starts)
+    for (const prompt_prefix& start : starts)
       at.starts.note({start.hash, chosen->engine}, now);
     return chosen;
   }
@@ -165,7 +165,7 @@
     std::vector<std::uint64_t> unread;
     std::vector<engine_load> told;
     std::vector<std::uint64_t> sent_since;
-    prompt_starts starts;
+    prefix_index starts;
   };
   struct sent {
     std::uint32_t engine{};
--- a/bench/pool/impl/shipped_policy.cpp
+++ b/bench/pool/impl/shipped_policy.cpp
@@ -77,7 +77,7 @@
   const placement& place = places_.at(request.number);
   endpoint_directory& endpoints = *hosts_.at(request.what->host).endpoints;
   endpoints.note_load(place, {load.running, load.waiting, slots_});
-  endpoints.note_started(place);
+  endpoints.note_prompt_read(place);
 }
 
 void shipped_policy::ended(const open_request& request, send_end how, bool started) {
@@ -92,7 +92,7 @@
   if (whole)
     at.next_whole = time_.now() + whole_interval;
   const auto entries = at.endpoints->own_use(!whole);
-  const auto sightings = at.endpoints->take_own_sightings();
+  const auto sightings = at.endpoints->take_own_prefix_locations();
   const std::size_t all = std::max(entries.size(), sightings.size());
   std::vector<std::string> messages;
   if (all == 0 && !whole)
--- a/fuzz/fuzz_entries.cpp
+++ b/fuzz/fuzz_entries.cpp
@@ -4,7 +4,7 @@
 #include "config/config.hpp"
 #include "platform/platform.hpp"
 #include "prepaid/impl/loan_message.hpp"
-#include "relay/impl/load_board.hpp"
+#include "relay/impl/peer_load_table.hpp"
 
 #include <algorithm>
 #include <cstdlib>
@@ -89,11 +89,11 @@
   if (!report)
     return;
   require(encode_use_report(*report) == text);
-  load_board board{time_ms{3000}};
-  board.take(*report, time_ms{});
-  board.forget_silent(time_ms{4000});
+  peer_load_table table{time_ms{3000}};
+  table.take(*report, time_ms{});
+  table.remove_silent(time_ms{4000});
   for (const use_entry& entry : report->entries)
-    require(board.at(entry.endpoint) == endpoint_use{});
+    require(table.at(entry.endpoint) == endpoint_use{});
 }
 
 void check_records(const std::string& text) {
--- a/src/entry/impl/entry_host.cpp
+++ b/src/entry/impl/entry_host.cpp
@@ -100,11 +100,11 @@
   options.retries.slack = settings_.retry_slack;
   options.retries.window = settings_.retry_window;
   options.stop = settings_.stop;
-  options.most_open = most_open_requests(settings_.processor_share);
-  options.most_preparing = most_preparing(settings_.processor_share);
-  processor_ = std::make_unique<processor_watch>(
-      shedding_options{}, [this] { return relay_->open(); },
-      options.most_open / open_of_a_busy_host, time, log);
+  options.max_open = most_open_requests(settings_.processor_share);
+  options.max_preparing = max_preparing(settings_.processor_share);
+  processor_ = std::make_unique<processor_monitor>(
+      shedding_options{}, [this] { return relay_->open(); }, options.max_open / open_of_a_busy_host,
+      time, log);
   relay_ = std::make_unique<request_relay>(
       request_relay::parts{
           dialect_, endpoints_, *budgets_, time, log, figures_, [this] { return fleet_->config(); },
@@ -131,8 +131,8 @@
     const config_ptr config = fleet_->config();
     return config ? config->limits : caller_limits{};
   };
-  callers_ = std::make_unique<front_door>(*relay_, dialect_, limits, front_door_options{},
-                                          listen_on(settings_.callers), time_, log_);
+  callers_ = std::make_unique<http_frontend>(*relay_, dialect_, limits, http_frontend_options{},
+                                             listen_on(settings_.callers), time_, log_);
   callers_->start();
   log_.write(
       severity::info, "started", {},
--- a/src/entry/impl/entry_host.hpp
+++ b/src/entry/impl/entry_host.hpp
@@ -53,8 +53,8 @@
   std::unique_ptr<peer_channel> peers_; ///< its thread calls loans_ and loads_
   std::unique_ptr<endpoint_prober> prober_;
   std::unique_ptr<request_relay> relay_;
-  std::unique_ptr<processor_watch> processor_; ///< its thread counts what relay_ serves
-  std::unique_ptr<front_door> callers_;
+  std::unique_ptr<processor_monitor> processor_; ///< its thread counts what relay_ serves
+  std::unique_ptr<http_frontend> callers_;
   std::unique_ptr<status_door> status_;
   std::atomic<bool> stopping_{false};
 };
--- a/src/relay/impl/caller_answer.cpp
+++ b/src/relay/impl/caller_answer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr time_ms most_caller_write{10000}; // a caller that reads nothing for longer has failed
+constexpr time_ms max_caller_write{10000}; // a caller that reads nothing for longer has failed
 
 std::string chunk_of(std::string_view bytes) {
   std::array<char, 20> size{};
@@ -36,14 +36,14 @@
   response_head head = head_;
   head.fields.remove_hop_by_hop();
   head.fields.remove("Content-Length");
-  told_end_ = stop_.begun();
-  if (told_end_)
+  announced_close_ = stop_.begun();
+  if (announced_close_)
     head.fields.set("Connection", "close");
   return head;
 }
 
 bool caller_answer::write(std::string_view bytes) {
-  const time_ms until = caller_.time().now() + most_caller_write;
+  const time_ms until = caller_.time().now() + max_caller_write;
   const io_status status = caller_.write_all(bytes, until, &stop_watch_);
   cut_ = status == io_status::interrupted;
   caller_failed_ = status != io_status::ok;
@@ -63,7 +63,7 @@
   return write(to_text(head));
 }
 
-bool caller_answer::pass_events(const std::string& events) {
+bool caller_answer::forward_events(const std::string& events) {
   if (events.empty())
     return true;
   note_ready();
--- a/src/relay/impl/caller_answer.hpp
+++ b/src/relay/impl/caller_answer.hpp
@@ -29,7 +29,7 @@
   // the host interrupted the write.
   [[nodiscard]] bool deliver(const std::string& body);
   [[nodiscard]] bool deliver_kept() { return deliver(kept_body_); }
-  [[nodiscard]] bool pass_events(const std::string& events);
+  [[nodiscard]] bool forward_events(const std::string& events);
   [[nodiscard]] bool end_stream();
   [[nodiscard]] bool write(std::string_view bytes);
 
@@ -39,7 +39,7 @@
   [[nodiscard]] bool stream_begun() const noexcept { return stream_begun_; }
   [[nodiscard]] bool caller_failed() const noexcept { return caller_failed_; }
   /// \returns whether the header sent contains `Connection: close`
-  [[nodiscard]] bool told_end() const noexcept { return told_end_; }
+  [[nodiscard]] bool announced_close() const noexcept { return announced_close_; }
   /// \returns whether the stop of the host interrupted the last write
   [[nodiscard]] bool cut() const noexcept { return cut_; }
   /// \returns when the first event, or the whole answer, was ready to be written; nothing before
@@ -60,7 +60,7 @@
   bool stream_begun_{false};
   bool caller_failed_{false};
   bool cut_{false};
-  bool told_end_{false};
+  bool announced_close_{false};
   std::optional<time_ms> first_ready_;
 };
 
--- a/src/relay/impl/caller_poll.cpp
+++ b/src/relay/impl/caller_poll.cpp
@@ -17,20 +17,20 @@
 
 namespace {
 
-constexpr std::size_t most_events = 64;
+constexpr std::size_t max_events = 64;
 constexpr int accepted_at_once = 64; // so that a burst of connects does not delay other events
-constexpr time_ms look_interval{1000};
-constexpr time_ms closing_look_interval{100}; // while connections are being closed
+constexpr time_ms scan_interval{1000};
+constexpr time_ms closing_scan_interval{100}; // while connections are being closed
 
 } // namespace
 
-open_caller::open_caller(const Poco::Net::StreamSocket& from, const clock& time,
-                         std::atomic<std::size_t>& counted)
+caller_connection::caller_connection(const Poco::Net::StreamSocket& from, const clock& time,
+                                     std::atomic<std::size_t>& counted)
     : socket{from}, link{from, time}, since{time.now()}, count{counted} {
   ++count;
 }
 
-open_caller::~open_caller() {
+caller_connection::~caller_connection() {
   --count;
   if (closing != nullptr)
     --*closing;
@@ -86,20 +86,20 @@
 }
 
 void caller_poll::run() {
-  std::array<epoll_event, most_events> events{};
-  time_ms looked = time_.now();
+  std::array<epoll_event, max_events> events{};
+  time_ms last_scan = time_.now();
   while (!ended_) {
-    const time_ms interval = closing_ > 0 ? closing_look_interval : look_interval;
-    const time_ms left = std::max(looked + interval - time_.now(), time_ms{});
+    const time_ms interval = closing_ > 0 ? closing_scan_interval : scan_interval;
+    const time_ms left = std::max(last_scan + interval - time_.now(), time_ms{});
     const int ready =
         ::epoll_wait(epoll_, events.data(), events.size(), static_cast<int>(left.count()));
     for (int i = 0; i < ready && !ended_; ++i)
       handle(events.at(static_cast<std::size_t>(i)).data.fd);
-    if (time_.now() - looked < interval)
+    if (time_.now() - last_scan < interval)
       continue;
-    looked = time_.now();
+    last_scan = time_.now();
     close_overdue();
-    listen(connections_ < options_.most_connections);
+    listen(connections_ < options_.max_connections);
   }
 }
 
@@ -123,7 +123,7 @@
 // queue until others have been closed.
 void caller_poll::accept_callers() {
   for (int i = 0; i < accepted_at_once; ++i) {
-    if (connections_ >= options_.most_connections) {
+    if (connections_ >= options_.max_connections) {
       listen(false);
       return;
     }
@@ -134,7 +134,7 @@
       return;
     }
     Poco::Net::StreamSocket socket{new Poco::Net::StreamSocketImpl{descriptor}};
-    auto caller = std::make_unique<open_caller>(socket, time_, connections_);
+    auto caller = std::make_unique<caller_connection>(socket, time_, connections_);
     if (i == 0)
       park(std::move(caller));
     else // after a queue of connects the first request has probably arrived
@@ -143,7 +143,7 @@
 }
 
 void caller_poll::note_ready(int descriptor) {
-  std::unique_ptr<open_caller> caller;
+  std::unique_ptr<caller_connection> caller;
   {
     const std::scoped_lock lock{mutex_};
     const auto at = callers_.find(descriptor);
@@ -158,7 +158,7 @@
     take_bytes(std::move(caller));
 }
 
-void caller_poll::take_bytes(std::unique_ptr<open_caller> caller) {
+void caller_poll::take_bytes(std::unique_ptr<caller_connection> caller) {
   switch (caller->link.fill(time_.now())) {
   case io_status::ok:
     on_ready_(std::move(caller));
@@ -175,7 +175,7 @@
 }
 
 // Closing a socket with unread bytes resets the connection, and the caller could lose the answer.
-void caller_poll::drain(std::unique_ptr<open_caller> caller) {
+void caller_poll::drain(std::unique_ptr<caller_connection> caller) {
   io_status status = io_status::ok;
   while (status == io_status::ok) {
     status = caller->link.fill(time_.now());
@@ -185,24 +185,24 @@
     park(std::move(caller));
 }
 
-void caller_poll::wait_for_request(std::unique_ptr<open_caller> caller) {
+void caller_poll::wait_for_request(std::unique_ptr<caller_connection> caller) {
   if (!caller->arriving)
     caller->since = time_.now();
   caller->link.trim();
   park(std::move(caller));
 }
 
-void caller_poll::close_gently(std::unique_ptr<open_caller> caller) {
+void caller_poll::close_gracefully(std::unique_ptr<caller_connection> caller) {
   caller->closing = &closing_;
   ++closing_;
   caller->since = time_.now();
-  caller->link.end_writing();
+  caller->link.shutdown_write();
   park(std::move(caller));
 }
 
 // During a stop an idle connection is closed here; a request that has already arrived on it is
 // served or refused like any other.
-void caller_poll::park(std::unique_ptr<open_caller> caller) {
+void caller_poll::park(std::unique_ptr<caller_connection> caller) {
   const std::scoped_lock lock{mutex_};
   const bool ends = all_closed_ || (served_closed_ && caller->requests > 0);
   if (ended_ || (ends && caller->closing == nullptr && caller->link.quiet()))
@@ -223,7 +223,7 @@
   served_closed_ = true;
   all_closed_ = all_closed_ || !served_only;
   std::erase_if(callers_, [&](const auto& one) {
-    open_caller& caller = *one.second;
+    caller_connection& caller = *one.second;
     return caller.closing == nullptr && (all_closed_ || caller.requests > 0) && caller.link.quiet();
   });
 }
@@ -231,11 +231,11 @@
 void caller_poll::close_overdue() {
   const time_ms now = time_.now();
   const time_ms idle = idle_timeout_();
-  std::vector<std::unique_ptr<open_caller>> overdue;
+  std::vector<std::unique_ptr<caller_connection>> overdue;
   {
     const std::scoped_lock lock{mutex_};
     for (auto at = callers_.begin(); at != callers_.end();) {
-      open_caller& caller = *at->second;
+      caller_connection& caller = *at->second;
       const time_ms waited = now - caller.since;
       const bool late = caller.closing != nullptr ? waited >= options_.closing_timeout
                         : caller.arriving         ? waited >= options_.arriving_timeout
@@ -245,7 +245,7 @@
       at = late ? callers_.erase(at) : std::next(at);
     }
   }
-  for (std::unique_ptr<open_caller>& caller : overdue) {
+  for (std::unique_ptr<caller_connection>& caller : overdue) {
     if (caller->closing != nullptr || !caller->arriving)
       continue; // closed with `overdue`
     caller->overdue = true;
--- a/src/relay/impl/caller_poll.hpp
+++ b/src/relay/impl/caller_poll.hpp
@@ -16,12 +16,12 @@
 namespace sedgechute {
 
 /// \brief One caller's connection.
-struct open_caller {
-  open_caller(const Poco::Net::StreamSocket& socket, const clock& time,
-              std::atomic<std::size_t>& counted);
-  open_caller(const open_caller&) = delete;
-  open_caller& operator=(const open_caller&) = delete;
-  ~open_caller();
+struct caller_connection {
+  caller_connection(const Poco::Net::StreamSocket& socket, const clock& time,
+                    std::atomic<std::size_t>& counted);
+  caller_connection(const caller_connection&) = delete;
+  caller_connection& operator=(const caller_connection&) = delete;
+  ~caller_connection();
 
   Poco::Net::StreamSocket socket;
   connection link;
@@ -36,7 +36,7 @@
 };
 
 struct caller_poll_options {
-  std::size_t most_connections{3000};
+  std::size_t max_connections{3000};
   time_ms closing_timeout{300};  ///< for the caller to read the last answer and close
   time_ms arriving_timeout{500}; ///< for the rest of a request; then a thread takes over the wait
 };
@@ -46,7 +46,7 @@
 class caller_poll {
  public:
   /// \brief Receives a connection whose buffer holds newly read bytes.
-  using ready_handler = std::function<void(std::unique_ptr<open_caller>)>;
+  using ready_handler = std::function<void(std::unique_ptr<caller_connection>)>;
 
   /// \param idle_timeout  returns the time after which a connection without a request is closed
   caller_poll(const Poco::Net::ServerSocket& socket, const planned_stop& stop,
@@ -60,17 +60,17 @@
   void stop() noexcept;
 
   /// \brief Waits for the next request on a connection, or for the rest of a partly read one.
-  void wait_for_request(std::unique_ptr<open_caller> caller);
+  void wait_for_request(std::unique_ptr<caller_connection> caller);
   /// \brief Shuts down writing; closes the connection when the caller does, or after
   /// `closing_timeout`.
-  void close_gently(std::unique_ptr<open_caller> caller);
+  void close_gracefully(std::unique_ptr<caller_connection> caller);
 
   [[nodiscard]] std::size_t connections() const noexcept { return connections_; }
   /// \returns the number of connections that are being closed
   [[nodiscard]] std::size_t closing() const noexcept { return closing_; }
 
  private:
-  using callers = std::unordered_map<int, std::unique_ptr<open_caller>>;
+  using callers = std::unordered_map<int, std::unique_ptr<caller_connection>>;
 
   void run();
   void handle(int descriptor);
@@ -78,9 +78,9 @@
   void listen(bool on) noexcept;
   void note_ready(int descriptor);
   /// \brief Reads available bytes and passes the connection to the handler if there are any.
-  void take_bytes(std::unique_ptr<open_caller> caller);
-  void drain(std::unique_ptr<open_caller> caller);
-  void park(std::unique_ptr<open_caller> caller);
+  void take_bytes(std::unique_ptr<caller_connection> caller);
+  void drain(std::unique_ptr<caller_connection> caller);
+  void park(std::unique_ptr<caller_connection> caller);
   /// \param served_only  keeps connections that have not had a request yet
   void close_waiting(bool served_only);
   void close_overdue();
--- a/src/relay/impl/choose_replica.cpp
+++ b/src/relay/impl/choose_replica.cpp
@@ -6,7 +6,7 @@
 
 double expected_open(const replica_candidate& candidate, const choice_weights& weights) noexcept {
   const auto here = static_cast<double>(candidate.open_here + candidate.open_elsewhere);
-  if (!candidate.load || candidate.load_age > weights.load_stays)
+  if (!candidate.load || candidate.load_age > weights.max_load_age)
     return here;
   const auto said = static_cast<double>(candidate.load->running + candidate.load->waiting +
                                         candidate.sent_since_load);
@@ -25,7 +25,7 @@
     return cost;
   auto unread =
       static_cast<double>(candidate.unread_tokens_here + candidate.unread_tokens_elsewhere);
-  if (candidate.load && candidate.load_age <= weights.load_stays)
+  if (candidate.load && candidate.load_age <= weights.max_load_age)
     unread = std::max(unread,
                       static_cast<double>(candidate.load->waiting) * weights.waiting_prompt_tokens);
   cost += unread / weights.tokens_read_a_ms;
--- a/src/relay/impl/choose_replica.hpp
+++ b/src/relay/impl/choose_replica.hpp
@@ -31,7 +31,7 @@
   /// Cost of an endpoint that has failed each of its last requests.
   double failing_ms{3000};
   /// Maximum age of a load report that is still used. Loads change within a second.
-  time_ms load_stays{1500};
+  time_ms max_load_age{1500};
   /// Another data centre costs a round trip and traffic between them.
   double other_centre_ms{4};
 };
--- a/src/relay/impl/connection.cpp
+++ b/src/relay/impl/connection.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t read_block_bytes = 16 * 1024;
-constexpr std::size_t compact_above = 64 * 1024; // consumed bytes that compact the buffer
+constexpr std::size_t compact_threshold = 64 * 1024; // consumed bytes that compact the buffer
 
 // A machine that lost power or is cut off does not reply. The kernel gives up on unacknowledged
 // bytes after `unacknowledged_ms`, and on an idle connection after the keepalive probes. Both times
@@ -43,7 +43,7 @@
   return got == 0 || (got < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-bool caller_watch::left_by_now() noexcept {
+bool caller_watch::has_left() noexcept {
   pollfd fd{descriptor_, events(), 0};
   return ::poll(&fd, 1, 0) > 0 && left(fd.revents);
 }
@@ -68,7 +68,7 @@
   if (consumed_ == buffer_.size()) {
     buffer_.clear();
     consumed_ = 0;
-  } else if (consumed_ > compact_above) {
+  } else if (consumed_ > compact_threshold) {
     buffer_.erase(0, consumed_);
     consumed_ = 0;
   }
@@ -179,7 +179,7 @@
     std::string{}.swap(buffer_);
 }
 
-void connection::end_writing() noexcept {
+void connection::shutdown_write() noexcept {
   (void)::shutdown(descriptor_, SHUT_WR);
 }
 
@@ -199,14 +199,14 @@
     if (status != io_status::ok)
       return {nullptr, status}; // the caller of this function logs the endpoint as unreachable
     socket.setNoDelay(true);
-    guard_against_silence(socket);
+    enable_dead_peer_detection(socket);
     return {std::move(link), status};
   } catch (const Poco::Exception&) {
     return {nullptr, io_status::reset};
   }
 }
 
-void guard_against_silence(Poco::Net::StreamSocket& socket) {
+void enable_dead_peer_detection(Poco::Net::StreamSocket& socket) {
   socket.setKeepAlive(true);
   socket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_ms);
   socket.setOption(IPPROTO_TCP, TCP_KEEPIDLE, idle_before_probe_s);
--- a/src/relay/impl/connection.hpp
+++ b/src/relay/impl/connection.hpp
@@ -49,7 +49,7 @@
   /// \returns whether the caller has closed its connection
   [[nodiscard]] bool left(short seen) noexcept;
   /// \returns whether the caller has closed its connection; does not wait
-  [[nodiscard]] bool left_by_now() noexcept;
+  [[nodiscard]] bool has_left() noexcept;
 
  private:
   int descriptor_;
@@ -90,7 +90,7 @@
   /// \brief Frees the memory of the buffer if it is empty.
   void trim() noexcept;
   /// \brief Shuts down writing; bytes from the peer can still be read.
-  void end_writing() noexcept;
+  void shutdown_write() noexcept;
   /// \brief Resets the connection, so that the peer cannot take a partial message for a whole one.
   void abort() noexcept;
 
@@ -121,6 +121,6 @@
 
 /// \brief Sets keepalive and user timeout, so that a connection fails when its peer has vanished
 /// without closing it.
-void guard_against_silence(Poco::Net::StreamSocket& socket);
+void enable_dead_peer_detection(Poco::Net::StreamSocket& socket);
 
 } // namespace sedgechute
--- a/src/relay/impl/connection_pool.hpp
+++ b/src/relay/impl/connection_pool.hpp
@@ -18,12 +18,13 @@
  public:
   explicit connection_pool(const clock& time) : time_{time} {}
 
-  /// \param life  current life of the endpoint; connections to earlier lives are closed
-  /// \param most_idle  connections that were idle for longer are closed
+  /// \param local_incarnation  current one of the endpoint; connections to earlier ones are closed
+  /// \param max_idle  connections that were idle for longer are closed
   /// \returns an open idle connection without unread bytes, or null
-  [[nodiscard]] std::unique_ptr<connection> take(const endpoint_id& endpoint, std::uint64_t life,
-                                                 time_ms most_idle);
-  void give_back(const endpoint_id& endpoint, std::uint64_t life, std::unique_ptr<connection> idle);
+  [[nodiscard]] std::unique_ptr<connection> take(const endpoint_id& endpoint,
+                                                 std::uint64_t local_incarnation, time_ms max_idle);
+  void give_back(const endpoint_id& endpoint, std::uint64_t local_incarnation,
+                 std::unique_ptr<connection> idle);
   [[nodiscard]] std::size_t size() const;
 
  private:
@@ -33,17 +34,17 @@
   };
 
   struct endpoint_connections {
-    std::uint64_t life{};
+    std::uint64_t local_incarnation{};
     std::vector<idle_connection> idle;
   };
 
   /// \brief Removes expired connections of all endpoints.
   /// \returns the removed connections; destroying them closes them
-  [[nodiscard]] std::vector<idle_connection> take_old();
+  [[nodiscard]] std::vector<idle_connection> take_expired();
 
   const clock& time_;
   mutable ordered_mutex mutex_{lock_rank::endpoints};
-  time_ms looked_for_old_;
+  time_ms last_expiry_scan_;
   std::unordered_map<endpoint_id, endpoint_connections> known_;
 };
 
--- a/src/relay/impl/elastic_pool.cpp
+++ b/src/relay/impl/elastic_pool.cpp
@@ -11,8 +11,8 @@
   const std::scoped_lock lock{mutex_};
   if (stopping_)
     return false;
-  const bool may_grow = workers_.size() < options_.most_threads;
-  if (!may_grow && tasks_.size() >= idle_ + options_.most_queued)
+  const bool may_grow = workers_.size() < options_.max_threads;
+  if (!may_grow && tasks_.size() >= idle_ + options_.max_queued)
     return false;
   tasks_.push_back(std::move(work));
   if (tasks_.size() <= idle_ || !may_grow) {
--- a/src/relay/impl/elastic_pool.hpp
+++ b/src/relay/impl/elastic_pool.hpp
@@ -14,13 +14,13 @@
 namespace sedgechute {
 
 struct elastic_pool_options {
-  std::size_t most_threads{700};
-  std::size_t most_queued{256}; ///< tasks waiting while no thread is idle
-  time_ms idle_timeout{5000};   ///< after which an idle thread ends
+  std::size_t max_threads{700};
+  std::size_t max_queued{256}; ///< tasks waiting while no thread is idle
+  time_ms idle_timeout{5000};  ///< after which an idle thread ends
   int stack_bytes{256 * 1024};
 };
 
-/// \brief A thread pool that grows up to `most_threads` and ends threads that stay idle. Submitting
+/// \brief A thread pool that grows up to `max_threads` and ends threads that stay idle. Submitting
 /// a task does not wait for a thread to start. Thread-safe.
 class elastic_pool {
  public:
--- a/src/relay/impl/endpoint_directory.cpp
+++ b/src/relay/impl/endpoint_directory.cpp
@@ -13,34 +13,34 @@
 
 // Half-life of the failure average, after which a failing endpoint is tried again. Crashed engines
 // are back within some seconds.
-constexpr double failures_halve_ms = 1500;
+constexpr double failure_half_life_ms = 1500;
 
 // Reports of a host that has been silent for longer are discarded; hosts report once a second.
-constexpr time_ms silent_host{3000};
+constexpr time_ms peer_timeout{3000};
 
 // Engines evict cached prefixes: one with room for half a million tokens prefills some 10,000 new
 // ones a second at its usual load.
-constexpr time_ms starts_kept{25000};
+constexpr time_ms prefix_lifetime{25000};
 
-// Start time queries of an endpoint that may have restarted, at least `ask_interval` apart. More
-// than one, as a reply may be lost; bounded, as some endpoints never report a start time.
-constexpr int most_asks = 3;
-constexpr time_ms ask_interval{2000};
+// Start time queries of an endpoint that may have restarted, at least `start_query_interval` apart.
+// More than one, as a reply may be lost; bounded, as some endpoints never report a start time.
+constexpr int max_start_queries = 3;
+constexpr time_ms start_query_interval{2000};
 
 // Endpoints per round of probes. A round takes some milliseconds when connections are refused, and
 // up to a second when endpoints are silent.
-constexpr std::size_t most_probes = 6;
+constexpr std::size_t max_probes = 6;
 
-double faded(double failing, time_ms span) noexcept {
-  return failing * std::exp2(-static_cast<double>(span.count()) / failures_halve_ms);
+double decayed(double failing, time_ms span) noexcept {
+  return failing * std::exp2(-static_cast<double>(span.count()) / failure_half_life_ms);
 }
 
 } // namespace
 
 endpoint_directory::endpoint_directory(data_centre_id here, const choice_weights& weights,
                                        const clock& time, random_source random)
-    : here_{std::move(here)}, weights_{weights}, time_{time}, others_{silent_host},
-      starts_{starts_kept}, reach_{reach_options{}}, random_{random} {}
+    : here_{std::move(here)}, weights_{weights}, time_{time}, others_{peer_timeout},
+      prefix_index_{prefix_lifetime}, reachability_{reachability_options{}}, random_{random} {}
 
 void endpoint_directory::put(endpoint_entry entry) {
   std::optional<endpoint_restart> restart;
@@ -48,10 +48,10 @@
     const std::scoped_lock lock{mutex_};
     restart = take_entry(std::move(entry));
   }
-  tell(restart);
+  notify_restart(restart);
 }
 
-void endpoint_directory::tell(const std::optional<endpoint_restart>& restart) const {
+void endpoint_directory::notify_restart(const std::optional<endpoint_restart>& restart) const {
   if (restart && on_restart_)
     on_restart_(*restart);
 }
@@ -64,7 +64,7 @@
   state& of = at->second;
   if (first) {
     const auto listed = entry.started;
-    of = new_life(std::move(entry));
+    of = new_state(std::move(entry));
     of.listed = listed;
     return std::nullopt;
   }
@@ -79,53 +79,55 @@
     of.entry = std::move(entry);
     return std::nullopt;
   }
-  const auto restart = begin_again(of, std::move(entry), restart_source::list);
+  const auto restart = start_incarnation(of, std::move(entry), restart_source::list);
   if (ahead_of_list)
-    doubt_start(of); // the list may still be behind what the endpoint reported
+    suspect_restart(of); // the list may still be behind what the endpoint reported
   return restart;
 }
 
-endpoint_directory::state endpoint_directory::new_life(endpoint_entry entry) {
+endpoint_directory::state endpoint_directory::new_state(endpoint_entry entry) {
   state made;
-  made.life = ++lives_;
+  made.local_incarnation = ++last_local_incarnation_;
   made.hash = incarnation_of(entry.id, entry.started);
-  made.home_hash = incarnation_of(entry.id, std::nullopt);
+  made.affinity_hash = incarnation_of(entry.id, std::nullopt);
   made.entry = std::move(entry);
   return made;
 }
 
 // The new incarnation has an empty cache and runs nothing, and it may be reachable again. Reports
 // of other hosts on the earlier incarnation carry a different hash.
-std::optional<endpoint_restart> endpoint_directory::begin_again(state& of, endpoint_entry entry,
-                                                                restart_source found_by) {
+std::optional<endpoint_restart>
+endpoint_directory::start_incarnation(state& of, endpoint_entry entry, restart_source found_by) {
   const std::optional<time_ms> before = of.entry.started;
-  state next = new_life(std::move(entry));
+  state next = new_state(std::move(entry));
   next.listed = of.listed;
-  next.ask_at = of.ask_at;
+  next.next_start_query = of.next_start_query;
   of = std::move(next);
-  reach_.forget(of.entry.id);
+  reachability_.forget(of.entry.id);
   if (!before)
     return std::nullopt; // the start time was unknown: this may be the same incarnation
   return endpoint_restart{of.entry.id, found_by, *before, *of.entry.started};
 }
 
-endpoint_directory::state* endpoint_directory::alive(const endpoint_id& id, std::uint64_t life) {
+endpoint_directory::state* endpoint_directory::find_current(const endpoint_id& id,
+                                                            std::uint64_t local_incarnation) {
   const auto at = endpoints_.find(id);
-  return at != endpoints_.end() && at->second.life == life ? &at->second : nullptr;
+  return at != endpoints_.end() && at->second.local_incarnation == local_incarnation ? &at->second
+                                                                                     : nullptr;
 }
 
 // A refused or broken connection suggests that the endpoint's process has ended. The list shows a
 // restart only after the endpoint has registered and this host has read the entry; either may be
 // cut off from the store for long. So the endpoint itself is queried.
-void endpoint_directory::doubt_start(state& of) {
+void endpoint_directory::suspect_restart(state& of) {
   if (of.entry.started)
-    of.asks_left = most_asks;
+    of.start_queries_left = max_start_queries;
 }
 
 void endpoint_directory::remove(const endpoint_id& id) {
   const std::scoped_lock lock{mutex_};
   endpoints_.erase(id);
-  reach_.forget(id);
+  reachability_.forget(id);
 }
 
 std::vector<endpoint_id> endpoint_directory::ids() const {
@@ -147,16 +149,17 @@
   candidate.load_age = now - of.load_at;
   candidate.sent_since_load = of.sent_since_load;
   candidate.slots = std::max<std::uint64_t>(of.entry.slots, 1);
-  candidate.failing = faded(of.failing, now - of.failed_at);
+  candidate.failing = decayed(of.failing, now - of.failed_at);
   candidate.other_centre = of.entry.data_centre != here_;
   return candidate;
 }
 
-void endpoint_directory::gather(const placement_request& request, round& into, time_ms now) {
+void endpoint_directory::gather_candidates(const placement_request& request, candidate_set& into,
+                                           time_ms now) {
   for (auto& [id, known] : endpoints_) {
-    if (known.entry.service != request.service || !usable(known))
+    if (known.entry.service != request.service || !is_usable(known))
       continue;
-    if (!reach_.reachable(id, known.entry.data_centre))
+    if (!reachability_.reachable(id, known.entry.data_centre))
       continue;
     if (std::find(request.avoid.begin(), request.avoid.end(), known.hash) != request.avoid.end())
       continue;
@@ -172,29 +175,30 @@
   }
   if (request.generation == nullptr)
     return;
-  into.starts = shared_starts(*request.generation);
-  if (!into.starts.empty())
-    into.shared_tokens = into.starts.back().tokens;
+  into.prefixes = shared_prefixes(*request.generation);
+  if (!into.prefixes.empty())
+    into.shared_tokens = into.prefixes.back().tokens;
 }
 
 // Rendezvous hashing gives each prefix a home endpoint, the one of highest weight, which is the
 // same on all hosts without communication. Where prefixes were actually sent, hosts report to each
 // other; an endpoint without the prefix fetches it from one that has it.
-void endpoint_directory::compare_starts(round& among, time_ms now) const {
+void endpoint_directory::compare_prefixes(candidate_set& among, time_ms now) const {
   if (among.shared_tokens == 0)
     return;
-  std::uint64_t most_kept = 0;
+  std::uint64_t max_kept = 0;
   std::size_t home = 0;
   std::uint64_t home_weight = 0;
   for (std::size_t i = 0; i < among.states.size(); ++i) {
     const endpoint_hash hash = among.states[i]->hash;
-    const std::uint64_t kept = starts_.tokens_at(among.starts, hash, now);
+    const std::uint64_t kept = prefix_index_.tokens_at(among.prefixes, hash, now);
     among.candidates[i].missing_tokens = among.shared_tokens - kept;
-    if (kept >= most_kept) {
-      most_kept = kept;
-      among.keeper = i;
+    if (kept >= max_kept) {
+      max_kept = kept;
+      among.prefix_holder = i;
     }
-    const std::uint64_t weight = mix_hash(among.starts.back().hash, among.states[i]->home_hash);
+    const std::uint64_t weight =
+        mix_hash(among.prefixes.back().hash, among.states[i]->affinity_hash);
     if (i == 0 || weight > home_weight) {
       home = i;
       home_weight = weight;
@@ -202,7 +206,7 @@
   }
   for (std::size_t i = 0; i < among.states.size(); ++i) {
     among.candidates[i].fetchable_tokens =
-        most_kept - std::min(most_kept, among.shared_tokens - among.candidates[i].missing_tokens);
+        max_kept - std::min(max_kept, among.shared_tokens - among.candidates[i].missing_tokens);
     among.candidates[i].home = i == home;
   }
 }
@@ -210,9 +214,9 @@
 std::optional<placement> endpoint_directory::place(const placement_request& request) {
   const std::scoped_lock lock{mutex_};
   const time_ms now = time_.now();
-  round among;
-  gather(request, among, now);
-  compare_starts(among, now);
+  candidate_set among;
+  gather_candidates(request, among, now);
+  compare_prefixes(among, now);
   const std::uint64_t prompt =
       request.generation != nullptr ? request.generation->prompt_tokens : 0;
   const auto chosen = choose_replica(among.candidates, prompt, weights_);
@@ -221,7 +225,7 @@
   return take_place(among, *chosen, prompt, now);
 }
 
-placement endpoint_directory::take_place(const round& among, std::size_t chosen,
+placement endpoint_directory::take_place(const candidate_set& among, std::size_t chosen,
                                          std::uint64_t prompt_tokens, time_ms now) {
   state& at = *among.states[chosen];
   const replica_candidate& candidate = among.candidates[chosen];
@@ -231,7 +235,7 @@
   placement place;
   place.endpoint = at.entry.id;
   place.incarnation = at.hash;
-  place.life = at.life;
+  place.local_incarnation = at.local_incarnation;
   place.address = at.entry.address;
   place.prompt_tokens = unread;
   place.candidates = among.candidates.size();
@@ -240,27 +244,27 @@
   place.missing_tokens = candidate.missing_tokens;
   place.load_age = candidate.load ? candidate.load_age : time_ms{-1};
   if (candidate.fetchable_tokens > 0)
-    place.fetch_from = among.states[among.keeper]->entry.address;
+    place.fetch_from = among.states[among.prefix_holder]->entry.address;
   ++at.open;
   ++at.sent_since_load;
   at.unread_tokens += unread;
-  for (const prompt_start& start : among.starts) {
-    const start_sighting sighting{start.hash, at.hash};
-    starts_.note(sighting, now);
-    own_sightings_.push_back(sighting);
+  for (const prompt_prefix& prefix : among.prefixes) {
+    const prefix_location location{prefix.hash, at.hash};
+    prefix_index_.note(location, now);
+    own_prefix_locations_.push_back(location);
   }
   return place;
 }
 
-void endpoint_directory::note_started(const placement& place) {
+void endpoint_directory::note_prompt_read(const placement& place) {
   const std::scoped_lock lock{mutex_};
-  if (state* at = alive(place.endpoint, place.life))
+  if (state* at = find_current(place.endpoint, place.local_incarnation))
     at->unread_tokens -= std::min(at->unread_tokens, place.prompt_tokens);
 }
 
 void endpoint_directory::note_load(const placement& place, const load_report& load) {
   const std::scoped_lock lock{mutex_};
-  state* at = alive(place.endpoint, place.life);
+  state* at = find_current(place.endpoint, place.local_incarnation);
   if (at == nullptr)
     return;
   at->load = load;
@@ -270,19 +274,19 @@
 
 void endpoint_directory::note_leaving(const placement& place) {
   const std::scoped_lock lock{mutex_};
-  if (state* at = alive(place.endpoint, place.life))
+  if (state* at = find_current(place.endpoint, place.local_incarnation))
     at->leaving = true;
 }
 
 void endpoint_directory::note_result(state& of, bool good, time_ms now) const {
-  const double before = faded(of.failing, now - of.failed_at);
+  const double before = decayed(of.failing, now - of.failed_at);
   of.failing = before + ((good ? 0.0 : 1.0) - before) * result_weight;
   of.failed_at = now;
 }
 
 void endpoint_directory::release(const placement& place, send_outcome outcome, bool started) {
   const std::scoped_lock lock{mutex_};
-  state* at = alive(place.endpoint, place.life);
+  state* at = find_current(place.endpoint, place.local_incarnation);
   if (at == nullptr)
     return;
   state& of = *at;
@@ -293,9 +297,9 @@
   switch (outcome) {
   case send_outcome::unreachable:
   case send_outcome::silent:
-    doubt_start(of);
-    reach_.note_unreachable(place.endpoint, of.entry.data_centre, outcome == send_outcome::silent,
-                            now);
+    suspect_restart(of);
+    reachability_.note_unreachable(place.endpoint, of.entry.data_centre,
+                                   outcome == send_outcome::silent, now);
     return;
   case send_outcome::caller_left:
   case send_outcome::host_stopped:
@@ -306,7 +310,7 @@
     note_result(of, true, now);
     break;
   case send_outcome::failed:
-    doubt_start(of);
+    suspect_restart(of);
     note_result(of, false, now);
     break;
   case send_outcome::own_error:
@@ -315,96 +319,98 @@
     note_result(of, false, now);
     break;
   }
-  reach_.note_reachable(place.endpoint, of.entry.data_centre);
+  reachability_.note_reachable(place.endpoint, of.entry.data_centre);
 }
 
 std::vector<endpoint_directory::probe> endpoint_directory::due_probes() {
   const std::scoped_lock lock{mutex_};
   const time_ms now = time_.now();
   std::vector<probe> probes;
-  for (const endpoint_id& id : reach_.due(now)) {
+  for (const endpoint_id& id : reachability_.due(now)) {
     const auto at = endpoints_.find(id);
     if (at == endpoints_.end())
-      reach_.forget(id);
+      reachability_.forget(id);
     else
-      probes.push_back({id, at->second.entry.address, at->second.life, at->second.asks_left > 0});
+      probes.push_back({id, at->second.entry.address, at->second.local_incarnation,
+                        at->second.start_queries_left > 0});
   }
   for (auto& [id, known] : endpoints_) {
-    if (known.asks_left == 0 || known.ask_at > now || probes.size() >= most_probes)
+    if (known.start_queries_left == 0 || known.next_start_query > now ||
+        probes.size() >= max_probes)
       continue;
-    if (!reach_.reachable(id, known.entry.data_centre))
+    if (!reachability_.reachable(id, known.entry.data_centre))
       continue; // queried when a probe reaches it
-    known.ask_at = now + ask_interval;
-    probes.push_back({id, known.entry.address, known.life, true});
+    known.next_start_query = now + start_query_interval;
+    probes.push_back({id, known.entry.address, known.local_incarnation, true});
   }
   return probes;
 }
 
 void endpoint_directory::note_probe(const probe& of, bool reached, bool silent) {
   const std::scoped_lock lock{mutex_};
-  const state* at = alive(of.endpoint, of.life);
+  const state* at = find_current(of.endpoint, of.local_incarnation);
   if (at == nullptr)
     return;
   const data_centre_id& centre = at->entry.data_centre;
   if (reached)
-    reach_.note_reachable(of.endpoint, centre);
+    reachability_.note_reachable(of.endpoint, centre);
   else
-    reach_.note_unreachable(of.endpoint, centre, silent, time_.now());
+    reachability_.note_unreachable(of.endpoint, centre, silent, time_.now());
 }
 
-// A reply to a probe of an earlier life is ignored: it may come from an earlier incarnation.
-void endpoint_directory::note_start(const probe& of, std::optional<time_ms> started) {
+// A reply to a probe of an earlier local incarnation is ignored as it may be outdated.
+void endpoint_directory::note_start_time(const probe& of, std::optional<time_ms> started) {
   std::optional<endpoint_restart> restart;
   {
     const std::scoped_lock lock{mutex_};
-    state* at = alive(of.endpoint, of.life);
+    state* at = find_current(of.endpoint, of.local_incarnation);
     if (at == nullptr)
       return;
-    at->asks_left = started ? 0 : std::max(at->asks_left - 1, 0);
+    at->start_queries_left = started ? 0 : std::max(at->start_queries_left - 1, 0);
     if (!started || started == at->entry.started)
       return;
     endpoint_entry entry = at->entry;
     entry.started = started;
     entry.draining = false;
-    restart = begin_again(*at, std::move(entry), restart_source::endpoint);
+    restart = start_incarnation(*at, std::move(entry), restart_source::endpoint);
   }
-  tell(restart);
+  notify_restart(restart);
 }
 
 std::vector<use_entry> endpoint_directory::own_use(bool changed_only) {
   const std::scoped_lock lock{mutex_};
-  others_.forget_silent(time_.now());
-  starts_.forget_old(time_.now());
+  others_.remove_silent(time_.now());
+  prefix_index_.remove_expired(time_.now());
   std::vector<use_entry> entries;
   for (auto& [id, known] : endpoints_) {
     const endpoint_use use{static_cast<std::uint32_t>(known.open),
                            static_cast<std::uint32_t>(known.unread_tokens)};
-    const bool told = changed_only ? use == known.told : use == endpoint_use{};
-    known.told = use;
-    if (!told)
+    const bool unchanged = changed_only ? use == known.reported : use == endpoint_use{};
+    known.reported = use;
+    if (!unchanged)
       entries.push_back({known.hash, use});
   }
   return entries;
 }
 
-std::vector<start_sighting> endpoint_directory::take_own_sightings() {
+std::vector<prefix_location> endpoint_directory::take_own_prefix_locations() {
   const std::scoped_lock lock{mutex_};
-  return std::exchange(own_sightings_, {});
+  return std::exchange(own_prefix_locations_, {});
 }
 
 void endpoint_directory::take_report(const use_report& report) {
   const std::scoped_lock lock{mutex_};
   const time_ms now = time_.now();
   others_.take(report, now);
-  for (const start_sighting& sighting : report.sightings)
-    starts_.note(sighting, now);
+  for (const prefix_location& location : report.prefix_locations)
+    prefix_index_.note(location, now);
 }
 
 std::size_t endpoint_directory::ready(const std::string& service) const {
   const std::scoped_lock lock{mutex_};
   return static_cast<std::size_t>(
       std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& known) {
-        return known.second.entry.service == service && usable(known.second);
+        return known.second.entry.service == service && is_usable(known.second);
       }));
 }
 
--- a/src/relay/impl/endpoint_directory.hpp
+++ b/src/relay/impl/endpoint_directory.hpp
@@ -3,9 +3,9 @@
 #include "kernel/kernel.hpp"
 #include "relay/impl/choose_replica.hpp"
 #include "relay/impl/endpoint_incarnation.hpp"
-#include "relay/impl/load_board.hpp"
-#include "relay/impl/prompt_starts.hpp"
-#include "relay/impl/reach_watch.hpp"
+#include "relay/impl/peer_load_table.hpp"
+#include "relay/impl/prefix_index.hpp"
+#include "relay/impl/reachability_tracker.hpp"
 #include "relay/impl/request_terms.hpp"
 #include "relay/impl/send_outcome.hpp"
 
@@ -40,8 +40,8 @@
 /// \brief The assignment of a request to an endpoint, from the choice until `release`.
 struct placement {
   endpoint_id endpoint;
-  endpoint_hash incarnation{}; ///< the same on all hosts
-  std::uint64_t life{};        ///< number of the incarnation on this host; later ones are larger
+  endpoint_hash incarnation{};       ///< the same on all hosts
+  std::uint64_t local_incarnation{}; ///< number on this host; increases with each one
   std::string address;
   std::string fetch_from; ///< address of an endpoint that has cached parts of the prompt; or empty
   std::uint64_t prompt_tokens{}; ///< to be prefilled
@@ -66,7 +66,7 @@
 
   /// \brief Sets the listener for restarts. Must be called before any thread uses the directory;
   /// the listener is called without a lock held.
-  void on_restart(restart_listener told) { on_restart_ = std::move(told); }
+  void on_restart(restart_listener listener) { on_restart_ = std::move(listener); }
 
   /// \brief Adds or updates an endpoint. Entries must be put in the order of the endpoint list.
   void put(endpoint_entry entry);
@@ -77,7 +77,7 @@
   /// \returns the cheapest endpoint for a request; nothing when there is no candidate
   [[nodiscard]] std::optional<placement> place(const placement_request& request);
   /// \brief Records that the endpoint has read the prompt, as its first event or answer shows.
-  void note_started(const placement& place);
+  void note_prompt_read(const placement& place);
   void note_load(const placement& place, const load_report& load);
   /// \brief Records that the endpoint is leaving, or that another one now has its address.
   void note_leaving(const placement& place);
@@ -86,21 +86,21 @@
   struct probe {
     endpoint_id endpoint;
     std::string address;
-    std::uint64_t life{};
-    bool ask_start{false}; ///< it may have restarted: query its start time once connected
+    std::uint64_t local_incarnation{};
+    bool query_start_time{false}; ///< it may have restarted: query its start time once connected
   };
   /// \returns endpoints to be probed now because they were unreachable or may have restarted
   [[nodiscard]] std::vector<probe> due_probes();
   void note_probe(const probe& of, bool reached, bool silent);
   /// \brief Records the reply to a query of the endpoint's start time.
   /// \param started  nothing when there was no usable reply
-  void note_start(const probe& of, std::optional<time_ms> started);
+  void note_start_time(const probe& of, std::optional<time_ms> started);
 
   /// \returns the requests of this host in flight at each endpoint, for the other hosts
   /// \param changed_only  only entries that differ from those returned before
   [[nodiscard]] std::vector<use_entry> own_use(bool changed_only);
   /// \returns the prompt prefixes that this host has sent to endpoints since the last call
-  [[nodiscard]] std::vector<start_sighting> take_own_sightings();
+  [[nodiscard]] std::vector<prefix_location> take_own_prefix_locations();
   /// \brief Applies a report of another host.
   void take_report(const use_report& report);
 
@@ -111,12 +111,12 @@
  private:
   struct state {
     endpoint_entry entry;
-    std::uint64_t life{};
+    std::uint64_t local_incarnation{};
     endpoint_hash hash{};          ///< of the incarnation
-    endpoint_hash home_hash{};     ///< of the id alone, so that a restart keeps prefix affinity
+    endpoint_hash affinity_hash{}; ///< of the id alone, so that a restart keeps prefix affinity
     std::optional<time_ms> listed; ///< start time in its newest entry that has one
-    int asks_left{};               ///< start time queries left; 0: no restart is suspected
-    time_ms ask_at;
+    int start_queries_left{};      ///< start time queries left; 0: no restart is suspected
+    time_ms next_start_query;
     std::uint64_t open{};
     std::uint64_t unread_tokens{};
     std::optional<load_report> load;
@@ -125,33 +125,34 @@
     double failing{};
     time_ms failed_at;
     bool leaving{false};
-    endpoint_use told; ///< last usage reported to the other hosts
+    endpoint_use reported; ///< last usage reported to the other hosts
   };
 
   /// The candidates of one placement and the prefixes of its prompt.
-  struct round {
+  struct candidate_set {
     std::vector<state*> states;
     std::vector<replica_candidate> candidates;
-    std::vector<prompt_start> starts;
+    std::vector<prompt_prefix> prefixes;
     std::uint64_t shared_tokens{};
-    std::size_t keeper{}; ///< index of the candidate with the longest cached prefix
+    std::size_t prefix_holder{}; ///< index of the candidate with the longest cached prefix
   };
 
-  /// \returns the state of an endpoint; null when it is gone or `life` is not its current one
-  [[nodiscard]] state* alive(const endpoint_id& id, std::uint64_t life);
-  [[nodiscard]] state new_life(endpoint_entry entry);
+  /// \returns the state of an endpoint; null when it is gone or `local_incarnation` is not the
+  /// current one
+  [[nodiscard]] state* find_current(const endpoint_id& id, std::uint64_t local_incarnation);
+  [[nodiscard]] state new_state(endpoint_entry entry);
   [[nodiscard]] std::optional<endpoint_restart> take_entry(endpoint_entry entry);
-  [[nodiscard]] std::optional<endpoint_restart> begin_again(state& of, endpoint_entry entry,
-                                                            restart_source found_by);
-  static void doubt_start(state& of);
-  void tell(const std::optional<endpoint_restart>& restart) const;
-  void gather(const placement_request& request, round& into, time_ms now);
-  void compare_starts(round& among, time_ms now) const;
-  [[nodiscard]] placement take_place(const round& among, std::size_t chosen,
+  [[nodiscard]] std::optional<endpoint_restart> start_incarnation(state& of, endpoint_entry entry,
+                                                                  restart_source found_by);
+  static void suspect_restart(state& of);
+  void notify_restart(const std::optional<endpoint_restart>& restart) const;
+  void gather_candidates(const placement_request& request, candidate_set& into, time_ms now);
+  void compare_prefixes(candidate_set& among, time_ms now) const;
+  [[nodiscard]] placement take_place(const candidate_set& among, std::size_t chosen,
                                      std::uint64_t prompt_tokens, time_ms now);
   [[nodiscard]] replica_candidate candidate_of(const state& of, time_ms now) const;
   void note_result(state& of, bool good, time_ms now) const;
-  [[nodiscard]] static bool usable(const state& of) noexcept {
+  [[nodiscard]] static bool is_usable(const state& of) noexcept {
     return !of.leaving && !of.entry.draining;
   }
 
@@ -160,12 +161,12 @@
   const clock& time_;
   mutable ordered_mutex mutex_{lock_rank::endpoints};
   std::unordered_map<endpoint_id, state> endpoints_;
-  load_board others_;
-  prompt_starts starts_;
-  reach_watch reach_;
+  peer_load_table others_;
+  prefix_index prefix_index_;
+  reachability_tracker reachability_;
   random_source random_;
-  std::vector<start_sighting> own_sightings_; ///< not reported to the other hosts yet
-  std::uint64_t lives_{0};                    ///< number of the last one assigned
+  std::vector<prefix_location> own_prefix_locations_; ///< not reported to the other hosts yet
+  std::uint64_t last_local_incarnation_{0};           ///< number of the last one assigned
   restart_listener on_restart_;
 };
 
--- a/src/relay/impl/endpoint_exchange.cpp
+++ b/src/relay/impl/endpoint_exchange.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t read_block = 16 * 1024;
 
-bool is_promise_of_no_run(int status) noexcept {
+bool promises_not_run(int status) noexcept {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
@@ -65,7 +65,7 @@
                                      connection& link, int sends)
     : parts_{joined}, bounds_{bounds}, link_{link}, sends_{sends} {}
 
-send_outcome endpoint_exchange::go(std::string_view request_text) {
+send_outcome endpoint_exchange::run(std::string_view request_text) {
   const io_status status = link_.write_all(request_text, parts_.request.deadline, &parts_.watch);
   // An endpoint that refuses may close before it has read all; its refusal can still be read.
   if (status == io_status::ok || status == io_status::reset)
@@ -75,8 +75,7 @@
 
 time_ms endpoint_exchange::reply_deadline() const {
   const send_progress so_far{.sends = sends_, .events = parts_.answer.events().events()};
-  const time_ms patience =
-      patience_with_endpoint(*parts_.request.on_route, so_far, bounds_.longest_silence);
+  const time_ms patience = stall_timeout(*parts_.request.on_route, so_far, bounds_.longest_silence);
   return std::min(parts_.request.deadline, parts_.time.now() + patience);
 }
 
@@ -95,7 +94,7 @@
   std::string text;
   do {
     const io_status status =
-        link_.read_head(text, bounds_.most_reply_head, reply_deadline(), &parts_.watch);
+        link_.read_head(text, bounds_.max_reply_head, reply_deadline(), &parts_.watch);
     if (status != io_status::ok)
       return status;
     const auto parsed = parse_response_head(text);
@@ -111,7 +110,7 @@
 // whether the request has run.
 bool endpoint_exchange::is_answer(const reply_terms& said) const {
   const bool of_this = said.echoed_id.empty() || said.echoed_id == parts_.request.terms.id;
-  return of_this && said.whole && !is_promise_of_no_run(reply_.status);
+  return of_this && said.whole && !promises_not_run(reply_.status);
 }
 
 send_outcome endpoint_exchange::read_reply() {
@@ -139,7 +138,7 @@
   if (prompt_read_)
     return;
   prompt_read_ = true;
-  parts_.endpoints.note_started(parts_.place);
+  parts_.endpoints.note_prompt_read(parts_.place);
 }
 
 send_outcome endpoint_exchange::take_answer() {
@@ -149,7 +148,7 @@
   std::array<char, read_block> block; // NOLINT(cppcoreguidelines-pro-type-member-init)
   while (body.state() == body_state::open) {
     bytes.append(block.data(), body.read(block.data(), block.size()));
-    if (bytes.size() > bounds_.most_buffered_body)
+    if (bytes.size() > bounds_.max_buffered_body)
       return send_outcome::failed;
   }
   if (body.state() != body_state::whole)
@@ -176,7 +175,7 @@
     const std::string whole = events.take_whole();
     if (!whole.empty())
       note_prompt_read();
-    if (!parts_.answer.pass_events(whole))
+    if (!parts_.answer.forward_events(whole))
       return send_outcome::caller_left;
   }
   if (body.state() == body_state::slow)
--- a/src/relay/impl/endpoint_exchange.hpp
+++ b/src/relay/impl/endpoint_exchange.hpp
@@ -17,8 +17,8 @@
 /// \brief Limits of an exchange with an endpoint.
 struct exchange_bounds {
   time_ms longest_silence; ///< without a byte, when the request may not be run again
-  std::size_t most_reply_head{};
-  std::size_t most_buffered_body{}; ///< of an answer that is not a stream
+  std::size_t max_reply_head{};
+  std::size_t max_buffered_body{}; ///< of an answer that is not a stream
 };
 
 /// \brief Sends one request on one connection to an endpoint and passes its reply to the caller.
@@ -39,7 +39,7 @@
                     int sends);
 
   /// \param request_text  header and body
-  [[nodiscard]] send_outcome go(std::string_view request_text);
+  [[nodiscard]] send_outcome run(std::string_view request_text);
 
   /// \returns whether the endpoint has begun to answer
   [[nodiscard]] bool prompt_read() const noexcept { return prompt_read_; }
--- a/src/relay/impl/endpoint_incarnation.hpp
+++ b/src/relay/impl/endpoint_incarnation.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "kernel/kernel.hpp"
-#include "relay/impl/load_board.hpp"
+#include "relay/impl/peer_load_table.hpp"
 
 #include <optional>
 
--- a/src/relay/impl/endpoint_prober.cpp
+++ b/src/relay/impl/endpoint_prober.cpp
@@ -1,7 +1,7 @@
 #include "relay/impl/endpoint_prober.hpp"
 
 #include "relay/impl/connection.hpp"
-#include "relay/impl/start_question.hpp"
+#include "relay/impl/start_time_query.hpp"
 
 namespace sedgechute {
 
@@ -41,9 +41,9 @@
   const bool reached = result.link != nullptr;
   const bool silent = result.status == io_status::timed_out;
   endpoints_.note_probe(probe, reached, silent);
-  if (reached && probe.ask_start)
-    endpoints_.note_start(
-        probe, ask_start(*result.link, probe.endpoint, dialect_, time_.now() + connect_timeout_));
+  if (reached && probe.query_start_time)
+    endpoints_.note_start_time(probe, query_start_time(*result.link, probe.endpoint, dialect_,
+                                                       time_.now() + connect_timeout_));
   log_.write(
       severity::info, reached ? "endpoint_reachable" : "endpoint_unreachable",
       {.endpoint = probe.endpoint.str()},
--- a/src/relay/impl/fleet_config.hpp
+++ b/src/relay/impl/fleet_config.hpp
@@ -42,7 +42,7 @@
   time_ms latency_target; ///< until the answer, or until the first event of a stream
   time_ms longest_pause;  ///< between two events of a stream
   int priority{0};        ///< 0 is the highest
-  int most_attempts{1};   ///< endpoints that one request may be sent to
+  int max_attempts{1};    ///< endpoints that one request may be sent to
   bool open_to_all{false};
   bool resumable{false};
   std::vector<weighted_service> services;
@@ -51,8 +51,8 @@
 /// \brief Properties that all endpoints of a service share.
 struct service_traits {
   std::string name;
-  std::uint64_t most_connections{}; ///< per endpoint, from all hosts together
-  std::uint64_t batch_slots{};      ///< 0 for a plain service
+  std::uint64_t max_connections{}; ///< per endpoint, from all hosts together
+  std::uint64_t batch_slots{};     ///< 0 for a plain service
   std::uint64_t memory_tokens{};
   std::uint64_t tokens_per_event{1}; ///< maximum number of tokens in one event
 };
--- a/src/relay/impl/host_pressure.cpp
+++ b/src/relay/impl/host_pressure.cpp
@@ -10,9 +10,10 @@
     return options.soon;
   const auto spread =
       time_ms{static_cast<std::int64_t>(drawn * static_cast<double>(options.spread.count()))};
-  const time_ms until_dealt = std::max(options.dealt_after - *busy_for, options.soon) + spread;
-  const time_ms usable{left.count() / options.usable_parts};
-  return std::max(std::min(until_dealt, usable), options.soon);
+  const time_ms until_balanced =
+      std::max(options.balancer_delay - *busy_for, options.soon) + spread;
+  const time_ms usable{left.count() / options.usable_divisor};
+  return std::max(std::min(until_balanced, usable), options.soon);
 }
 
 } // namespace sedgechute
--- a/src/relay/impl/front_door.cpp
+++ b/src/relay/impl/http_frontend.cpp
@@ -1,4 +1,4 @@
-#include "relay/impl/front_door.hpp"
+#include "relay/impl/http_frontend.hpp"
 
 #include "relay/impl/connection_source.hpp"
 #include "relay/impl/request_preview.hpp"
@@ -13,12 +13,12 @@
 constexpr std::size_t read_block = 16 * 1024;
 
 // Counts a request until its destruction.
-class request_mark {
+class in_flight_count {
  public:
-  explicit request_mark(std::atomic<std::size_t>& of) : count_{of} { ++count_; }
-  request_mark(const request_mark&) = delete;
-  request_mark& operator=(const request_mark&) = delete;
-  ~request_mark() { --count_; }
+  explicit in_flight_count(std::atomic<std::size_t>& of) : count_{of} { ++count_; }
+  in_flight_count(const in_flight_count&) = delete;
+  in_flight_count& operator=(const in_flight_count&) = delete;
+  ~in_flight_count() { --count_; }
 
  private:
   std::atomic<std::size_t>& count_;
@@ -27,60 +27,62 @@
 } // namespace
 
 /// A connection with a request that a thread is to serve.
-struct front_door::job {
-  job(front_door& of, std::unique_ptr<open_caller> from, preparing_requests::mark counted,
+struct http_frontend::job {
+  job(http_frontend& of, std::unique_ptr<caller_connection> from, preparing_requests::guard counted,
       bool let_in)
       : caller{std::move(from)}, preparing{std::move(counted)}, screened{let_in},
         unanswered{of.unanswered_}, busy{of.busy_} {}
 
-  std::unique_ptr<open_caller> caller;
-  preparing_requests::mark preparing;
+  std::unique_ptr<caller_connection> caller;
+  preparing_requests::guard preparing;
   bool screened;
-  request_mark unanswered;
-  request_mark busy;
+  in_flight_count unanswered;
+  in_flight_count busy;
 };
 
-enum class front_door::screen_result {
+enum class http_frontend::screen_result {
   serve,   ///< the request is accepted
   arrives, ///< the request is incomplete
   refused, ///< the refusal has been written
   ends,    ///< the connection must be closed
 };
 
-front_door::front_door(request_relay& relay, const wire_dialect& dialect,
-                       std::function<caller_limits()> limits, const front_door_options& options,
-                       const Poco::Net::ServerSocket& socket, const clock& time,
-                       structured_log& log)
+http_frontend::http_frontend(request_relay& relay, const wire_dialect& dialect,
+                             std::function<caller_limits()> limits,
+                             const http_frontend_options& options,
+                             const Poco::Net::ServerSocket& socket, const clock& time,
+                             structured_log& log)
     : relay_{relay}, dialect_{dialect}, limits_{std::move(limits)}, options_{options}, time_{time},
-      log_{log}, threads_{options.threads}, poll_{socket,
-                                                  relay.stop(),
-                                                  [this] { return limits_().idle_timeout; },
-                                                  options.connections,
-                                                  time,
-                                                  log,
-                                                  [this](std::unique_ptr<open_caller> caller) {
-                                                    take(std::move(caller));
-                                                  }} {}
-
-front_door::~front_door() {
+      log_{log}, threads_{options.threads}, poll_{
+                                                socket,
+                                                relay.stop(),
+                                                [this] { return limits_().idle_timeout; },
+                                                options.connections,
+                                                time,
+                                                log,
+                                                [this](std::unique_ptr<caller_connection> caller) {
+                                                  dispatch(std::move(caller));
+                                                }} {}
+
+http_frontend::~http_frontend() {
   poll_.stop();
   threads_.stop();
 }
 
-void front_door::start() {
+void http_frontend::start() {
   poll_.start();
 }
 
-void front_door::take(std::unique_ptr<open_caller> caller) {
-  preparing_requests::mark mark;
+void http_frontend::dispatch(std::unique_ptr<caller_connection> caller) {
+  preparing_requests::guard guard;
   bool screened = false;
   while (!screened && !relay_.stop().begun() && !caller->overdue) {
     if (!caller->arriving)
       caller->shed = relay_.sheds();
-    screened = !caller->shed && relay_.has_room();
+    screened = !caller->shed && relay_.has_capacity();
     if (screened)
       break;
-    switch (screen(*caller, mark)) {
+    switch (screen(*caller, guard)) {
     case screen_result::serve:
       screened = true;
       break;
@@ -98,12 +100,13 @@
   caller->arriving = false;
   caller->overdue = false;
   relay_.note_request(false);
-  if (!mark.begun())
-    mark = relay_.preparing().begin({});
-  run(std::make_shared<job>(*this, std::move(caller), std::move(mark), screened));
+  if (!guard.begun())
+    guard = relay_.preparing().begin({});
+  run(std::make_shared<job>(*this, std::move(caller), std::move(guard), screened));
 }
 
-front_door::screen_result front_door::screen(open_caller& caller, preparing_requests::mark& mark) {
+http_frontend::screen_result http_frontend::screen(caller_connection& caller,
+                                                   preparing_requests::guard& guard) {
   const caller_limits limits = limits_();
   request_preview seen =
       preview_request(caller.link.buffered(), limits.header_bytes, limits.body_bytes);
@@ -120,7 +123,7 @@
   if (seen.state == preview_state::other)
     return screen_result::serve;
   request_relay::screening decision = relay_.screen(seen.head, caller.shed);
-  mark = std::move(decision.mark);
+  guard = std::move(decision.guard);
   if (decision.taken)
     return screen_result::serve;
   ++caller.requests;
@@ -132,7 +135,7 @@
 }
 
 // At most one log line per interval: one per refusal would cost more than the refusals do.
-void front_door::note_refused() {
+void http_frontend::note_refused() {
   constexpr time_ms interval{1000};
   ++refused_;
   if (time_.now() - refused_told_ < interval)
@@ -142,35 +145,35 @@
              {{log_field::count, std::exchange(refused_, 0)}});
 }
 
-void front_door::run(const std::shared_ptr<job>& work) {
+void http_frontend::run(const std::shared_ptr<job>& work) {
   if (!threads_.run([this, work] { serve(*work); }))
     refuse(*work);
 }
 
-void front_door::refuse(job& work) {
+void http_frontend::refuse(job& work) {
   const error reason{error_kind::no_capacity, "host", "no thread is free"};
   note_refused();
   if (work.caller->link.write_all(refusal_text(dialect_, reason, "", true), time_.now()) ==
       io_status::ok)
-    poll_.close_gently(std::move(work.caller));
+    poll_.close_gracefully(std::move(work.caller));
 }
 
-void front_door::serve(job& work) {
+void http_frontend::serve(job& work) {
   try {
-    open_caller& caller = *work.caller;
+    caller_connection& caller = *work.caller;
     if (caller.requests == 0) {
       caller.socket.setNoDelay(true);
-      guard_against_silence(caller.socket);
+      enable_dead_peer_detection(caller.socket);
     }
     do {
-      const after_answer then =
+      const connection_action then =
           answer_one(caller, std::move(work.preparing), std::exchange(work.screened, false));
-      if (then == after_answer::abort) {
+      if (then == connection_action::abort) {
         caller.link.abort();
         return;
       }
-      if (then == after_answer::close) {
-        poll_.close_gently(std::move(work.caller));
+      if (then == connection_action::close) {
+        poll_.close_gracefully(std::move(work.caller));
         return;
       }
       caller.since = time_.now();
@@ -184,8 +187,8 @@
 
 // At the cut of a stop a request that is still arriving is refused, so that its caller gets an
 // answer before the process exits.
-after_answer front_door::answer_one(open_caller& caller, preparing_requests::mark mark,
-                                    bool screened) {
+connection_action http_frontend::answer_one(caller_connection& caller,
+                                            preparing_requests::guard guard, bool screened) {
   const caller_limits limits = limits_();
   const time_ms received = time_.now();
   const time_ms idle = received - caller.since;
@@ -203,11 +206,11 @@
     if (status != io_status::ok && link.buffered().size() > limits.header_bytes)
       throw error{error_kind::payload_too_large, "header", "is larger than allowed"};
     if (status != io_status::ok)
-      return after_answer::close;
+      return connection_action::close;
     const message_framing framing =
-        check_request_header(text, {most_header_fields, limits.header_bytes});
+        check_request_header(text, {max_header_fields, limits.header_bytes});
     incoming_request request{parse_request_head(text), {},   received, link,
-                             caller.requests,          idle, screened, std::move(mark)};
+                             caller.requests,          idle, screened, std::move(guard)};
     read_body(link, framing, limits, request, until_cut);
     return relay_.serve(request);
   } catch (const error& reason) {
@@ -216,12 +219,12 @@
     (void)link.write_all(refusal_text(dialect_, reason, "", true),
                          time_.now() + options_.connections.closing_timeout);
   }
-  return after_answer::close;
+  return connection_action::close;
 }
 
-void front_door::read_body(connection& link, const message_framing& framing,
-                           const caller_limits& limits, incoming_request& request,
-                           caller_watch& until_cut) const {
+void http_frontend::read_body(connection& link, const message_framing& framing,
+                              const caller_limits& limits, incoming_request& request,
+                              caller_watch& until_cut) const {
   const time_ms until = time_.now() + options_.body_timeout;
   if (framing.body == body_framing::stated && framing.bytes > limits.body_bytes)
     throw error{error_kind::payload_too_large, "body", "is larger than allowed"};
--- a/src/relay/impl/front_door.hpp
+++ b/src/relay/impl/http_frontend.hpp
@@ -13,7 +13,7 @@
 
 namespace sedgechute {
 
-struct front_door_options {
+struct http_frontend_options {
   time_ms body_timeout{10000}; ///< for a whole request body
   caller_poll_options connections{};
   elastic_pool_options threads{}; ///< each serves one request and uses some 30 KB of its stack
@@ -21,14 +21,14 @@
 
 /// \brief HTTP server in front of a relay. One thread polls all idle connections, and each accepted
 /// request gets a thread from a pool. Under load, requests are refused by their header alone.
-class front_door {
+class http_frontend {
  public:
-  front_door(request_relay& relay, const wire_dialect& dialect,
-             std::function<caller_limits()> limits, const front_door_options& options,
-             const Poco::Net::ServerSocket& socket, const clock& time, structured_log& log);
-  front_door(const front_door&) = delete;
-  front_door& operator=(const front_door&) = delete;
-  ~front_door();
+  http_frontend(request_relay& relay, const wire_dialect& dialect,
+                std::function<caller_limits()> limits, const http_frontend_options& options,
+                const Poco::Net::ServerSocket& socket, const clock& time, structured_log& log);
+  http_frontend(const http_frontend&) = delete;
+  http_frontend& operator=(const http_frontend&) = delete;
+  ~http_frontend();
 
   void start();
   [[nodiscard]] std::size_t connections() const noexcept { return poll_.connections(); }
@@ -41,23 +41,23 @@
   struct job;
   enum class screen_result;
 
-  void take(std::unique_ptr<open_caller> caller);
+  void dispatch(std::unique_ptr<caller_connection> caller);
   /// \brief Decides by its header whether a request is served, without waiting for more bytes.
-  [[nodiscard]] screen_result screen(open_caller& caller, preparing_requests::mark& mark);
+  [[nodiscard]] screen_result screen(caller_connection& caller, preparing_requests::guard& guard);
   void note_refused();
   void run(const std::shared_ptr<job>& work);
   void refuse(job& work);
   /// \brief Serves the requests that have arrived on a connection and returns it to the poll.
   void serve(job& work);
-  [[nodiscard]] after_answer answer_one(open_caller& caller, preparing_requests::mark mark,
-                                        bool screened);
+  [[nodiscard]] connection_action answer_one(caller_connection& caller,
+                                             preparing_requests::guard guard, bool screened);
   void read_body(connection& link, const message_framing& framing, const caller_limits& limits,
                  incoming_request& request, caller_watch& until_cut) const;
 
   request_relay& relay_;
   const wire_dialect& dialect_;
   std::function<caller_limits()> limits_;
-  front_door_options options_;
+  http_frontend_options options_;
   const clock& time_;
   structured_log& log_;
   std::atomic<std::size_t> unanswered_{0};
--- a/src/relay/impl/incoming_request.hpp
+++ b/src/relay/impl/incoming_request.hpp
@@ -15,10 +15,10 @@
   std::string body;
   time_ms received; ///< when the first byte was read
   connection& caller;
-  std::size_t on_connection{1};         ///< number on its connection, from 1
-  time_ms idle{};                       ///< time that the connection was idle before it
-  bool screened{false};                 ///< the host's load has already been checked for it
-  preparing_requests::mark preparing{}; ///< counts it until the first send
+  std::size_t on_connection{1};          ///< number on its connection, from 1
+  time_ms idle{};                        ///< time that the connection was idle before it
+  bool screened{false};                  ///< the host's load has already been checked for it
+  preparing_requests::guard preparing{}; ///< counts it until the first send
 };
 
 } // namespace sedgechute
--- a/src/relay/impl/load_exchange.hpp
+++ b/src/relay/impl/load_exchange.hpp
@@ -12,18 +12,19 @@
 struct load_exchange_options {
   /// Minimum time between reports. It is short because a report helps other hosts to avoid an
   /// engine only while the engine still prefills the reported prompt.
-  time_ms gather{20};
+  time_ms min_interval{20};
   /// To all hosts together; with many hosts the time between reports grows instead.
-  std::size_t most_datagrams_a_second{400};
+  std::size_t max_datagrams_per_second{400};
   /// Time between full reports, which correct lost datagrams.
   time_ms whole_interval{1000};
   /// From this number of other hosts on, only those of the own data centre get reports, so that the
   /// number of messages does not grow with the square of the fleet.
-  std::size_t most_told{16};
+  std::size_t max_recipients{16};
 };
 
-/// \returns the time between reports to `told` hosts
-[[nodiscard]] time_ms gather_span(const load_exchange_options& options, std::size_t told) noexcept;
+/// \returns the time between reports to `recipients` hosts
+[[nodiscard]] time_ms report_spacing(const load_exchange_options& options,
+                                     std::size_t recipients) noexcept;
 
 /// \brief Sends this host's use of endpoints to the other hosts and receives theirs. Reports are
 /// hints: a wrong or missing one only makes a placement worse.
@@ -42,9 +43,9 @@
  private:
   [[nodiscard]] bool take_report(std::string_view bytes);
   void send_reports();
-  void send_all(const std::vector<use_entry>& entries, const std::vector<start_sighting>& sightings,
-                bool whole);
-  [[nodiscard]] std::vector<peer> told() const;
+  void send_all(const std::vector<use_entry>& entries,
+                const std::vector<prefix_location>& prefix_locations, bool whole);
+  [[nodiscard]] std::vector<peer> recipients() const;
 
   std::uint64_t incarnation_;
   peer_channel& channel_;
--- a/src/relay/impl/load_shedding.hpp
+++ b/src/relay/impl/load_shedding.hpp
@@ -10,13 +10,13 @@
   /// Time constant of that mean.
   time_ms smoothing{300};
   /// Upper bound of one delay: a host that was frozen has processor time again afterwards.
-  time_ms most_lateness{20};
-  time_ms longest_span{100}; ///< upper bound of the time that one wake-up stands for
+  time_ms max_lateness{20};
+  time_ms max_span{100}; ///< upper bound of the time that one wake-up stands for
   /// Increase of the refused fraction per second at twice the target, and decrease per second
   /// without any delay.
   double rise{1.0};
   double fall{0.3};
-  double most_refused{0.9}; ///< below 1, so that requests of all kinds and teams are served
+  double max_refused{0.9}; ///< below 1, so that requests of all kinds and teams are served
   /// Hysteresis of the busy state: refused fractions at which it begins and ends.
   double busy_from{0.2};
   double busy_until{0.02};
@@ -41,12 +41,12 @@
   /// because too many were being prepared.
   void note_requests(std::size_t turned_away, std::size_t all, time_ms since) noexcept;
   /// \returns the fraction of new requests to be refused
-  [[nodiscard]] double refused_part() const noexcept { return refused_; }
+  [[nodiscard]] double refused_fraction() const noexcept { return refused_; }
   /// \returns whether the balancer should send callers to other hosts
   [[nodiscard]] bool busy() const noexcept { return busy_; }
 
  private:
-  void judge() noexcept;
+  void update_busy() noexcept;
 
   shedding_options options_;
   double lateness_ms_{0};
--- a/src/relay/impl/message_head.cpp
+++ b/src/relay/impl/message_head.cpp
@@ -11,8 +11,8 @@
 constexpr std::array hop_by_hop{"connection", "keep-alive",        "proxy-connection", "te",
                                 "trailer",    "transfer-encoding", "upgrade",          "expect"};
 
-constexpr int least_status = 100;
-constexpr int most_status = 599;
+constexpr int min_status = 100;
+constexpr int max_status = 599;
 
 char lower(char c) noexcept {
   return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
@@ -137,7 +137,7 @@
     return std::nullopt;
   head.old_version = line[protocol.size()] == '0';
   const auto status = parse_number(line.substr(status_at, 3));
-  if (!status || *status < least_status || *status > most_status)
+  if (!status || *status < min_status || *status > max_status)
     return std::nullopt;
   head.status = static_cast<int>(*status);
   head.reason = line.size() > status_at + 4 ? line.substr(status_at + 4) : "";
--- a/src/relay/impl/peer_channel.cpp
+++ b/src/relay/impl/peer_channel.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr std::size_t receive_bytes = 2048;
-constexpr long receive_look_us = 200'000; // between two checks whether the receiver must stop
-constexpr time_ms after_receive_fault{60};
+constexpr long stop_check_us = 200'000; // between two checks whether the receiver must stop
+constexpr time_ms receive_error_pause{60};
 
 // Header of each datagram: the type, and the sender's wall clock in milliseconds.
 constexpr std::size_t head_bytes = 1 + sizeof(std::uint64_t);
@@ -34,7 +34,7 @@
 // Later than any real wall clock time, and small enough that differences do not overflow.
 constexpr time_ms latest_wall{std::int64_t{1} << 53};
 
-bool is_wall(time_ms wall) noexcept {
+bool is_valid_wall_time(time_ms wall) noexcept {
   return wall >= time_ms{} && wall <= latest_wall;
 }
 
@@ -45,7 +45,7 @@
                            structured_log& log)
     : self_{std::move(self)}, hosts_{hosts}, clocks_{clocks}, options_{options}, faults_{faults},
       log_{log}, socket_{Poco::Net::SocketAddress{self_.address}, true} {
-  socket_.setReceiveTimeout(Poco::Timespan{receive_look_us});
+  socket_.setReceiveTimeout(Poco::Timespan{stop_check_us});
 }
 
 peer_channel::~peer_channel() {
@@ -126,14 +126,14 @@
     } catch (const std::exception& failure) { // also from a handler: go on with the next message
       log_.write(severity::warning, "peer_messages_not_received", {},
                  {{log_field::reason, std::string_view{failure.what()}}});
-      if (!pauses_.pause(after_receive_fault))
+      if (!pauses_.pause(receive_error_pause))
         return;
     }
   }
 }
 
 void peer_channel::take(std::string_view bytes, const Poco::Net::SocketAddress& from) {
-  const auto taker = bytes.size() < head_bytes || !is_wall(wall_of(bytes))
+  const auto taker = bytes.size() < head_bytes || !is_valid_wall_time(wall_of(bytes))
                          ? handlers_.end()
                          : handlers_.find(static_cast<peer_message>(bytes.front()));
   if (taker == handlers_.end() || !taker->second(bytes.substr(head_bytes))) {
--- a/src/relay/impl/peer_channel.hpp
+++ b/src/relay/impl/peer_channel.hpp
@@ -64,7 +64,7 @@
   void on(peer_message kind, handler take);
   /// \brief Sets the listener for changes of the host list. Must be called before `start`; the
   /// listener runs on a thread of the channel.
-  void on_hosts(std::function<void()> told) { hosts_changed_ = std::move(told); }
+  void on_hosts(std::function<void()> listener) { hosts_changed_ = std::move(listener); }
   void start();
   void stop() noexcept;
 
--- a/src/relay/impl/load_board.cpp
+++ b/src/relay/impl/peer_load_table.cpp
@@ -1,4 +1,4 @@
-#include "relay/impl/load_board.hpp"
+#include "relay/impl/peer_load_table.hpp"
 
 #include "kernel/impl/number_bytes.hpp"
 
@@ -9,12 +9,12 @@
 constexpr std::uint8_t format = 1; // first byte of a report
 constexpr std::size_t head_bytes = 1 + 8 + 4 + 1 + 2;
 constexpr std::size_t entry_bytes = 8 + 4 + 4;
-constexpr std::size_t sighting_bytes = 8 + 8;
+constexpr std::size_t location_bytes = 8 + 8;
 
 // Far above what a host can have at one endpoint. A corrupt report with larger values would make
 // all hosts avoid the endpoint.
-constexpr std::uint32_t most_open = 1U << 20U;
-constexpr std::uint32_t most_unread_tokens = 1U << 30U;
+constexpr std::uint32_t max_open = 1U << 20U;
+constexpr std::uint32_t max_unread_tokens = 1U << 30U;
 
 constexpr std::endian order = std::endian::little;
 
@@ -23,7 +23,7 @@
 std::string encode_use_report(const use_report& report) {
   std::string bytes;
   bytes.reserve(head_bytes + report.entries.size() * entry_bytes +
-                report.sightings.size() * sighting_bytes);
+                report.prefix_locations.size() * location_bytes);
   append_number<order>(bytes, format);
   append_number<order>(bytes, report.sender);
   append_number<order>(bytes, report.number);
@@ -34,9 +34,9 @@
     append_number<order>(bytes, entry.use.open);
     append_number<order>(bytes, entry.use.unread_tokens);
   }
-  for (const start_sighting& sighting : report.sightings) {
-    append_number<order>(bytes, sighting.start);
-    append_number<order>(bytes, sighting.endpoint);
+  for (const prefix_location& location : report.prefix_locations) {
+    append_number<order>(bytes, location.prefix);
+    append_number<order>(bytes, location.endpoint);
   }
   return bytes;
 }
@@ -51,27 +51,27 @@
   report.whole = whole == 1;
   const std::size_t entries = take_number<order, std::uint16_t>(bytes);
   if (whole > 1 || bytes.size() < entries * entry_bytes ||
-      (bytes.size() - entries * entry_bytes) % sighting_bytes != 0)
+      (bytes.size() - entries * entry_bytes) % location_bytes != 0)
     return std::nullopt;
   for (std::size_t i = 0; i < entries; ++i) {
     use_entry entry;
     entry.endpoint = take_number<order, std::uint64_t>(bytes);
     entry.use.open = take_number<order, std::uint32_t>(bytes);
     entry.use.unread_tokens = take_number<order, std::uint32_t>(bytes);
-    if (entry.use.open > most_open || entry.use.unread_tokens > most_unread_tokens)
+    if (entry.use.open > max_open || entry.use.unread_tokens > max_unread_tokens)
       return std::nullopt;
     report.entries.push_back(entry);
   }
   while (!bytes.empty()) {
-    start_sighting sighting;
-    sighting.start = take_number<order, std::uint64_t>(bytes);
-    sighting.endpoint = take_number<order, std::uint64_t>(bytes);
-    report.sightings.push_back(sighting);
+    prefix_location location;
+    location.prefix = take_number<order, std::uint64_t>(bytes);
+    location.endpoint = take_number<order, std::uint64_t>(bytes);
+    report.prefix_locations.push_back(location);
   }
   return report;
 }
 
-void load_board::replace(host_view& host, endpoint_hash endpoint, endpoint_use use) {
+void peer_load_table::replace(host_view& host, endpoint_hash endpoint, endpoint_use use) {
   endpoint_use& known = host.uses[endpoint];
   endpoint_use& sum = sums_[endpoint];
   sum.open += use.open - known.open;
@@ -83,7 +83,7 @@
     host.uses.erase(endpoint);
 }
 
-void load_board::take(const use_report& report, time_ms now) {
+void peer_load_table::take(const use_report& report, time_ms now) {
   host_view& host = hosts_[report.sender];
   if (host.number != 0 && report.number <= host.number)
     return;
@@ -100,12 +100,12 @@
     replace(host, entry.endpoint, entry.use);
 }
 
-endpoint_use load_board::at(endpoint_hash endpoint) const {
+endpoint_use peer_load_table::at(endpoint_hash endpoint) const {
   const auto found = sums_.find(endpoint);
   return found == sums_.end() ? endpoint_use{} : found->second;
 }
 
-void load_board::forget_silent(time_ms now) {
+void peer_load_table::remove_silent(time_ms now) {
   for (auto at = hosts_.begin(); at != hosts_.end();) {
     if (now - at->second.heard <= forget_after_) {
       ++at;
--- a/src/relay/impl/load_board.hpp
+++ b/src/relay/impl/peer_load_table.hpp
@@ -29,8 +29,8 @@
 
 /// \brief A prompt prefix that was sent to an endpoint, which caches it for later prompts with the
 /// same prefix.
-struct start_sighting {
-  std::uint64_t start{}; ///< hash of the prefix
+struct prefix_location {
+  std::uint64_t prefix{}; ///< hash of the prefix
   endpoint_hash endpoint{};
 };
 
@@ -41,7 +41,7 @@
   std::uint32_t number{}; ///< increases with each report; older ones that arrive late are dropped
   bool whole{false};      ///< full report: endpoints without an entry are not in use
   std::vector<use_entry> entries;
-  std::vector<start_sighting> sightings;
+  std::vector<prefix_location> prefix_locations;
 };
 
 [[nodiscard]] std::string encode_use_report(const use_report& report);
@@ -49,16 +49,16 @@
 [[nodiscard]] std::optional<use_report> decode_use_report(std::string_view bytes);
 
 /// \brief Sums the use of endpoints by all other hosts from their reports. Not thread-safe.
-class load_board {
+class peer_load_table {
  public:
   /// \param forget_after  time without a report after which a host's use is dropped
-  explicit load_board(time_ms forget_after) : forget_after_{forget_after} {}
+  explicit peer_load_table(time_ms forget_after) : forget_after_{forget_after} {}
 
   void take(const use_report& report, time_ms now);
   /// \returns the use of an endpoint by all other hosts together
   [[nodiscard]] endpoint_use at(endpoint_hash endpoint) const;
   /// \brief Drops the use of hosts that have sent no report for `forget_after`.
-  void forget_silent(time_ms now);
+  void remove_silent(time_ms now);
   [[nodiscard]] std::size_t hosts() const noexcept { return hosts_.size(); }
 
  private:
--- a/src/relay/impl/preparing_requests.hpp
+++ b/src/relay/impl/preparing_requests.hpp
@@ -11,7 +11,7 @@
 namespace sedgechute {
 
 /// \brief Numbers of requests in preparation: accepted and not yet sent to an endpoint.
-struct preparing_load {
+struct preparation_load {
   std::size_t total{};
   std::size_t of_team{}; ///< requests of the team in question
   std::size_t teams{};   ///< teams with requests, including the team in question
@@ -22,30 +22,30 @@
 /// Guards against bursts: within a second one team's callers at one host may send many times what
 /// its processor can handle, and each accepted request delays all others in preparation.
 /// \param most  number of requests in preparation that the host's processor can handle in time
-[[nodiscard]] bool exceeds_share(const preparing_load& load, std::size_t most) noexcept;
+[[nodiscard]] bool exceeds_share(const preparation_load& load, std::size_t most) noexcept;
 
 /// \returns the number of requests in preparation that a share of a processor can handle in time
 /// \param processor_share  number of cores; may be a fraction
-[[nodiscard]] std::size_t most_preparing(double processor_share) noexcept;
+[[nodiscard]] std::size_t max_preparing(double processor_share) noexcept;
 
 /// \brief Counts requests in preparation, all and by team. Thread-safe.
 class preparing_requests {
  public:
   /// \brief Counts one request as in preparation until its destruction or `end`.
-  class mark {
+  class guard {
    public:
-    mark() = default;
-    mark(preparing_requests& in, std::string team);
-    mark(mark&& other) noexcept;
-    mark& operator=(mark&& other) noexcept;
-    mark(const mark&) = delete;
-    mark& operator=(const mark&) = delete;
-    ~mark();
+    guard() = default;
+    guard(preparing_requests& in, std::string team);
+    guard(guard&& other) noexcept;
+    guard& operator=(guard&& other) noexcept;
+    guard(const guard&) = delete;
+    guard& operator=(const guard&) = delete;
+    ~guard();
 
     void end() noexcept;
     [[nodiscard]] bool begun() const noexcept { return in_ != nullptr; }
     /// \brief Moves the request to the count of its team, once that is known.
-    void belong_to(std::string_view team);
+    void assign_team(std::string_view team);
 
    private:
     preparing_requests* in_{nullptr};
@@ -53,10 +53,10 @@
   };
 
   /// \param team  empty when it is not known yet
-  [[nodiscard]] mark begin(std::string_view team);
+  [[nodiscard]] guard begin(std::string_view team);
   [[nodiscard]] std::size_t total() const;
   /// \returns the load that decides about a new request of `team`
-  [[nodiscard]] preparing_load load(std::string_view team) const;
+  [[nodiscard]] preparation_load load(std::string_view team) const;
 
  private:
   void leave(const std::string& team) noexcept;
--- a/src/relay/impl/processor_watch.cpp
+++ b/src/relay/impl/processor_monitor.cpp
@@ -1,4 +1,4 @@
-#include "relay/impl/processor_watch.hpp"
+#include "relay/impl/processor_monitor.hpp"
 
 #include <chrono>
 
@@ -6,24 +6,24 @@
 
 namespace {
 
-constexpr time_ms look_interval{50}; // twenty wake-ups a second use 0.1 % of a core
+constexpr time_ms sample_interval{50}; // twenty wake-ups a second use 0.1 % of a core
 
 } // namespace
 
-processor_watch::processor_watch(const shedding_options& options, open_count open,
-                                 std::size_t least_open, const clock& time, structured_log& log)
-    : open_{std::move(open)}, least_open_{least_open}, time_{time}, log_{log}, shedding_{options},
+processor_monitor::processor_monitor(const shedding_options& options, open_count open,
+                                     std::size_t min_open, const clock& time, structured_log& log)
+    : open_{std::move(open)}, min_open_{min_open}, time_{time}, log_{log}, shedding_{options},
       random_{random_source::from_system()} {}
 
-processor_watch::~processor_watch() {
+processor_monitor::~processor_monitor() {
   stop();
 }
 
-void processor_watch::start() {
+void processor_monitor::start() {
   thread_ = std::thread{[this] { run(); }};
 }
 
-void processor_watch::stop() noexcept {
+void processor_monitor::stop() noexcept {
   {
     const std::scoped_lock lock{mutex_};
     stopping_ = true;
@@ -33,43 +33,43 @@
     thread_.join();
 }
 
-bool processor_watch::sheds() {
+bool processor_monitor::sheds() {
   const std::scoped_lock lock{mutex_};
-  return shedding_.refused_part() > 0 && random_.unit() < shedding_.refused_part();
+  return shedding_.refused_fraction() > 0 && random_.unit() < shedding_.refused_fraction();
 }
 
-bool processor_watch::busy() const {
+bool processor_monitor::busy() const {
   const std::scoped_lock lock{mutex_};
   return shedding_.busy();
 }
 
-std::optional<time_ms> processor_watch::busy_for() const {
+std::optional<time_ms> processor_monitor::busy_for() const {
   const std::scoped_lock lock{mutex_};
   return busy_since_ ? std::optional{time_.now() - *busy_since_} : std::nullopt;
 }
 
-void processor_watch::note_request(bool turned_away) noexcept {
+void processor_monitor::note_request(bool turned_away) noexcept {
   ++requests_;
   if (turned_away)
     ++turned_away_;
 }
 
-void processor_watch::run() {
+void processor_monitor::run() {
   std::unique_lock lock{mutex_};
   time_ms last = time_.now();
-  while (!wake_.wait_for(lock, std::chrono::milliseconds{look_interval.count()},
+  while (!wake_.wait_for(lock, std::chrono::milliseconds{sample_interval.count()},
                          [&] { return stopping_; })) {
     const time_ms now = time_.now();
-    note(now - last - look_interval, now - last);
+    note(now - last - sample_interval, now - last);
     last = now;
   }
 }
 
 // Threads also wake up late when other processes use the machine. Refusing requests does not help
 // then, so a host with few requests refuses none.
-void processor_watch::note(time_ms lateness, time_ms since) {
+void processor_monitor::note(time_ms lateness, time_ms since) {
   const bool before = shedding_.busy();
-  shedding_.note_wake_up(open_() < least_open_ ? time_ms{} : lateness, since);
+  shedding_.note_wake_up(open_() < min_open_ ? time_ms{} : lateness, since);
   const std::size_t turned_away =
       turned_away_.exchange(0); // read first, so it is at most the total
   shedding_.note_requests(turned_away, requests_.exchange(0), since);
--- a/src/relay/impl/processor_watch.hpp
+++ b/src/relay/impl/processor_monitor.hpp
@@ -14,17 +14,17 @@
 
 /// \brief Measures processor overload by the wake-up delay of a thread of its own, and decides
 /// which requests to refuse because of it. Thread-safe.
-class processor_watch {
+class processor_monitor {
  public:
   using open_count = std::function<std::size_t()>;
 
   /// \param open        returns the number of requests that are being served
-  /// \param least_open  with fewer requests, delays are not attributed to this host's own work
-  processor_watch(const shedding_options& options, open_count open, std::size_t least_open,
-                  const clock& time, structured_log& log);
-  processor_watch(const processor_watch&) = delete;
-  processor_watch& operator=(const processor_watch&) = delete;
-  ~processor_watch();
+  /// \param min_open  with fewer requests, delays are not attributed to this host's own work
+  processor_monitor(const shedding_options& options, open_count open, std::size_t min_open,
+                    const clock& time, structured_log& log);
+  processor_monitor(const processor_monitor&) = delete;
+  processor_monitor& operator=(const processor_monitor&) = delete;
+  ~processor_monitor();
 
   void start();
   void stop() noexcept;
@@ -44,7 +44,7 @@
   void note(time_ms lateness, time_ms since);
 
   open_count open_;
-  std::size_t least_open_;
+  std::size_t min_open_;
   const clock& time_;
   structured_log& log_;
   mutable ordered_mutex mutex_{lock_rank::outbox};
--- a/src/relay/impl/reach_watch.hpp
+++ b/src/relay/impl/reachability_tracker.hpp
@@ -8,24 +8,24 @@
 
 namespace sedgechute {
 
-struct reach_options {
-  /// Backoff before the first probe of an unreachable endpoint; doubles up to `longest_probe`.
-  time_ms first_probe{250};
-  time_ms longest_probe{2000};
+struct reachability_options {
+  /// Backoff before the first probe of an unreachable endpoint; doubles up to `max_probe_backoff`.
+  time_ms initial_probe_backoff{250};
+  time_ms max_probe_backoff{2000};
   /// Number of consecutive silent endpoints of a data centre after which the whole data centre
   /// counts as unreachable. A crashed engine refuses connections instead of being silent, so two
   /// silent ones at once are rare.
   int silent_endpoints{3};
   /// Maximum number of endpoints per round of probes; an unreachable data centre has a hundred.
-  std::size_t most_probes{3};
+  std::size_t max_probes{3};
 };
 
 /// \brief Tracks which endpoints and data centres can be reached from this host. Without it each
 /// request would wait for a connect timeout at an unreachable endpoint; with it, requests go
 /// elsewhere or are refused at once, and only probes try to connect. Not thread-safe.
-class reach_watch {
+class reachability_tracker {
  public:
-  explicit reach_watch(const reach_options& options) : options_{options} {}
+  explicit reachability_tracker(const reachability_options& options) : options_{options} {}
 
   /// \param silent  there was no reply at all, not even a refused connection
   void note_unreachable(const endpoint_id& endpoint, const data_centre_id& centre, bool silent,
@@ -39,16 +39,16 @@
   [[nodiscard]] std::vector<endpoint_id> due(time_ms now);
 
  private:
-  struct trouble {
+  struct unreachable_endpoint {
     data_centre_id centre;
     time_ms next_probe;
     time_ms wait;
-    bool silent{false}; ///< counted in `silent_in_a_row_`
+    bool silent{false}; ///< counted in `consecutive_silent_`
   };
 
-  reach_options options_;
-  std::unordered_map<endpoint_id, trouble> troubles_;
-  std::unordered_map<std::string, int> silent_in_a_row_; ///< by data centre
+  reachability_options options_;
+  std::unordered_map<endpoint_id, unreachable_endpoint> unreachable_;
+  std::unordered_map<std::string, int> consecutive_silent_; ///< by data centre
 };
 
 } // namespace sedgechute
--- a/src/relay/impl/request_accounts.cpp
+++ b/src/relay/impl/request_accounting.cpp
@@ -1,4 +1,4 @@
-#include "relay/impl/request_accounts.hpp"
+#include "relay/impl/request_accounting.hpp"
 
 #include <algorithm>
 #include <optional>
@@ -8,17 +8,17 @@
 namespace {
 
 // A caller that retries sooner may find the budget unchanged.
-constexpr time_ms least_retry_after{50};
+constexpr time_ms min_retry_after{50};
 
 // The earlier of two times: when this host expects to hold the tokens, and when a retry may reach
 // another host that holds them.
 time_ms soonest_retry(std::optional<time_ms> covered_here, time_ms elsewhere) noexcept {
-  return std::max(std::min(covered_here.value_or(elsewhere), elsewhere), least_retry_after);
+  return std::max(std::min(covered_here.value_or(elsewhere), elsewhere), min_retry_after);
 }
 
 double seconds(time_ms span) noexcept {
-  constexpr double ms_a_second = 1000;
-  return static_cast<double>(span.count()) / ms_a_second;
+  constexpr double ms_per_second = 1000;
+  return static_cast<double>(span.count()) / ms_per_second;
 }
 
 } // namespace
--- a/src/relay/impl/request_preview.cpp
+++ b/src/relay/impl/request_preview.cpp
@@ -11,21 +11,21 @@
 
 } // namespace
 
-request_preview preview_request(std::string_view bytes, std::size_t most_header,
-                                std::size_t most_body) {
+request_preview preview_request(std::string_view bytes, std::size_t max_header,
+                                std::size_t max_body) {
   request_preview seen;
   const std::size_t end = bytes.find(end_mark);
   if (end == std::string_view::npos) {
-    seen.state = bytes.size() > most_header ? preview_state::other : preview_state::arriving;
+    seen.state = bytes.size() > max_header ? preview_state::other : preview_state::arriving;
     return seen;
   }
   const std::string_view header = bytes.substr(0, end + end_mark.size());
   seen.state = preview_state::other;
-  if (header.size() > most_header)
+  if (header.size() > max_header)
     return seen;
   try {
-    const message_framing framing = check_request_header(header, {most_header_fields, most_header});
-    if (framing.body == body_framing::chunked || framing.bytes > most_body)
+    const message_framing framing = check_request_header(header, {max_header_fields, max_header});
+    if (framing.body == body_framing::chunked || framing.bytes > max_body)
       return seen;
     seen.head = parse_request_head(header);
     if (seen.head.fields.has("Expect"))
--- a/src/relay/impl/request_preview.hpp
+++ b/src/relay/impl/request_preview.hpp
@@ -7,7 +7,7 @@
 
 namespace sedgechute {
 
-constexpr std::size_t most_header_fields = 200;
+constexpr std::size_t max_header_fields = 200;
 
 /// \brief State of a request in a connection's buffer.
 enum class preview_state {
@@ -24,9 +24,9 @@
 };
 
 /// \brief Examines the first request in `bytes` without consuming it.
-/// \param most_header  maximum size of the header in bytes
-/// \param most_body    maximum size of the body in bytes
-[[nodiscard]] request_preview preview_request(std::string_view bytes, std::size_t most_header,
-                                              std::size_t most_body);
+/// \param max_header  maximum size of the header in bytes
+/// \param max_body    maximum size of the body in bytes
+[[nodiscard]] request_preview preview_request(std::string_view bytes, std::size_t max_header,
+                                              std::size_t max_body);
 
 } // namespace sedgechute
--- a/src/relay/impl/request_relay.cpp
+++ b/src/relay/impl/request_relay.cpp
@@ -6,11 +6,11 @@
 
 request_relay::request_relay(parts joined, const relay_options& options)
     : parts_{std::move(joined)}, options_{options},
-      connections_{parts_.time}, stop_{options.stop, parts_.time}, repeats_{options.retries} {}
+      connections_{parts_.time}, stop_{options.stop, parts_.time}, retries_{options.retries} {}
 
-after_answer request_relay::serve(incoming_request& request) {
+connection_action request_relay::serve(incoming_request& request) {
   request_run run{*this, request};
-  return run.go();
+  return run.run();
 }
 
 // A refusal by the header alone saves the thread, the reservation of tokens and the log line, which
@@ -24,8 +24,8 @@
     return {};
   }
   const std::string_view team = admitted.team_name();
-  if (!shed && !full() && !exceeds_share(preparing_.load(team), options_.most_preparing))
-    return {.mark = preparing_.begin(team)};
+  if (!shed && !full() && !exceeds_share(preparing_.load(team), options_.max_preparing))
+    return {.guard = preparing_.begin(team)};
   constexpr std::string_view status = "503";
   parts_.figures.add(metric::requests, {team, admitted.on_route->name, status});
   const auto busy_for = parts_.pressure.busy_for ? parts_.pressure.busy_for() : std::nullopt;
@@ -42,7 +42,7 @@
 
 error request_relay::too_many_open() const {
   return {error_kind::no_capacity, "host",
-          std::to_string(options_.most_open) + " requests are open here",
+          std::to_string(options_.max_open) + " requests are open here",
           options_.overload_retry_after};
 }
 
@@ -60,15 +60,15 @@
     parts_.pressure.note_request(turned_away);
 }
 
-bool request_relay::may_repeat(const std::string& service) {
+bool request_relay::may_retry(const std::string& service) {
   const std::size_t hosts = parts_.hosts();
   const std::scoped_lock lock{mutex_};
-  return repeats_.take_repeat(service, hosts, parts_.time.now());
+  return retries_.take_retry(service, hosts, parts_.time.now());
 }
 
 void request_relay::note_first_send(const std::string& service) {
   const std::scoped_lock lock{mutex_};
-  repeats_.note_request(service, parts_.time.now());
+  retries_.note_request(service, parts_.time.now());
 }
 
 void request_relay::note_length(const std::string& kind, time_ms length) {
--- a/src/relay/impl/request_relay.hpp
+++ b/src/relay/impl/request_relay.hpp
@@ -9,7 +9,7 @@
 #include "relay/impl/incoming_request.hpp"
 #include "relay/impl/planned_stop.hpp"
 #include "relay/impl/preparing_requests.hpp"
-#include "relay/impl/retry_allowance.hpp"
+#include "relay/impl/retry_limiter.hpp"
 #include "relay/impl/wire_dialect.hpp"
 #include "routing/impl/run_lengths.hpp"
 #include "telemetry/telemetry.hpp"
@@ -22,7 +22,7 @@
 namespace sedgechute {
 
 /// \brief What to do with the caller's connection after an answer.
-enum class after_answer {
+enum class connection_action {
   next_request,
   close, ///< close in order: the answer is complete
   abort, ///< reset: the answer is incomplete, and the caller must notice
@@ -34,15 +34,15 @@
   time_ms connect_timeout{300}; ///< to an endpoint; other data centres are at most some ms away
   /// Maximum idle time of a reused connection. Endpoints close idle connections, and a request that
   /// crosses the close has to be treated as one that may have run.
-  time_ms most_idle{3500};
-  time_ms most_idle_run_once{1500}; ///< the same for requests that must not run twice
-  time_ms full_retry_after{500};    ///< `Retry-After` when every endpoint is full
+  time_ms max_idle{3500};
+  time_ms max_idle_run_once{1500}; ///< the same for requests that must not run twice
+  time_ms full_retry_after{500};   ///< `Retry-After` when every endpoint is full
   /// Maximum number of open requests. With more than its processor can handle, a host answers all
   /// of them late, and all are lost if it is killed.
-  std::size_t most_open{600};
+  std::size_t max_open{600};
   /// Maximum number of requests in preparation, i.e. not yet sent to an endpoint; beyond it, teams
   /// that have used up their share are refused.
-  std::size_t most_preparing{100};
+  std::size_t max_preparing{100};
   time_ms overload_retry_after{400}; ///< `Retry-After` beyond that; another host may have capacity
   retry_hint_options
       pressure_retry;              ///< for `Retry-After` while this host's processor is overloaded
@@ -51,8 +51,8 @@
   /// Maximum time without a byte from an endpoint whose request may not be run again. When the
   /// endpoint or the network path is down, its connection fails much earlier.
   time_ms longest_silence{60000};
-  std::size_t most_reply_head{32768};
-  std::size_t most_buffered_body{std::size_t{8} << 20U}; ///< of an answer that is not a stream
+  std::size_t max_reply_head{32768};
+  std::size_t max_buffered_body{std::size_t{8} << 20U}; ///< of an answer that is not a stream
 };
 
 /// \brief Serves requests: finds the route, reserves tokens, chooses endpoints, sends, retries
@@ -73,26 +73,26 @@
 
   request_relay(parts joined, const relay_options& options);
 
-  [[nodiscard]] after_answer serve(incoming_request& request);
+  [[nodiscard]] connection_action serve(incoming_request& request);
 
   /// \returns whether the next new request is to be refused because the processor is overloaded
   [[nodiscard]] bool sheds() const { return parts_.pressure.sheds && parts_.pressure.sheds(); }
   /// \brief Counts a request that arrived.
   void note_request(bool turned_away) const;
   /// \returns whether the maximum number of requests is open
-  [[nodiscard]] bool full() const noexcept { return open_ >= options_.most_open; }
+  [[nodiscard]] bool full() const noexcept { return open_ >= options_.max_open; }
   /// \returns whether requests may be accepted without examining them
-  [[nodiscard]] bool has_room() const {
-    return !full() && preparing_.total() < options_.most_preparing;
+  [[nodiscard]] bool has_capacity() const {
+    return !full() && preparing_.total() < options_.max_preparing;
   }
   [[nodiscard]] preparing_requests& preparing() noexcept { return preparing_; }
 
   /// \brief Decision about a request by its header alone.
   struct screening {
     bool taken{true};
-    std::string refusal{};           ///< complete response if the request is refused
-    bool ends_connection{false};     ///< the refusal contains `Connection: close`
-    preparing_requests::mark mark{}; ///< counts an accepted request as in preparation
+    std::string refusal{};             ///< complete response if the request is refused
+    bool ends_connection{false};       ///< the refusal contains `Connection: close`
+    preparing_requests::guard guard{}; ///< counts an accepted request as in preparation
   };
   /// \brief Decides by its header whether a request is accepted on a host under load.
   /// \param shed  refuse it, whichever team it belongs to, as the processor is overloaded
@@ -109,7 +109,7 @@
   [[nodiscard]] double draw();
   [[nodiscard]] error too_many_open() const;
   [[nodiscard]] static error processor_used_up(time_ms retry_after);
-  [[nodiscard]] bool may_repeat(const std::string& service);
+  [[nodiscard]] bool may_retry(const std::string& service);
   void note_first_send(const std::string& service);
   void note_length(const std::string& kind, time_ms length);
   /// \param most  time until the deadline of the request
@@ -120,7 +120,7 @@
   connection_pool connections_;
   planned_stop stop_;
   mutable ordered_mutex mutex_{lock_rank::requests};
-  retry_allowance repeats_;
+  retry_limiter retries_;
   run_lengths lengths_;
   random_source random_{random_source::from_system()};
   std::atomic<std::size_t> open_{0};
--- a/src/relay/impl/request_run.cpp
+++ b/src/relay/impl/request_run.cpp
@@ -17,13 +17,13 @@
   --relay_.open_;
 }
 
-after_answer request_run::go() {
+connection_action request_run::run() {
   try {
-    check_room();
+    check_capacity();
     admit(in_.head, in_.received, relay_.parts_.dialect, relay_.parts_.config(), admitted_);
-    in_.preparing.belong_to(admitted_.team_name());
+    in_.preparing.assign_team(admitted_.team_name());
     check_time_left();
-    check_processor();
+    check_overload();
     reserved_ =
         reserve_tokens(relay_.parts_.budgets, admitted_, relay_.options_.budget_retry_after);
     return run_sends();
@@ -32,14 +32,14 @@
   }
 }
 
-void request_run::check_room() const {
-  if (relay_.open_ > relay_.options_.most_open)
+void request_run::check_capacity() const {
+  if (relay_.open_ > relay_.options_.max_open)
     throw relay_.too_many_open();
 }
 
 // Refuses early, before the request costs more. Once the balancer has seen that the host is busy,
 // it sends the caller's next connection to another one.
-void request_run::check_processor() {
+void request_run::check_overload() {
   if (in_.screened || !relay_.sheds())
     return;
   last_on_connection_ = true;
@@ -60,14 +60,14 @@
 
 // The request may have waited to be read or for tokens. On an overloaded host callers give up
 // meanwhile, and sending their requests would only add load.
-after_answer request_run::run_sends() {
+connection_action request_run::run_sends() {
   send_outcome end = send_outcome::not_run;
   do {
-    if (watch_.left_by_now())
+    if (watch_.has_left())
       return give_up(send_outcome::caller_left);
     if (!may_have_run_)
       check_time_left(); // earlier refusals and failed connects have taken time
-    const auto place = find_place();
+    const auto place = choose_placement();
     if (!place)
       break;
     end = send_once(*place);
@@ -77,7 +77,7 @@
   return give_up(end);
 }
 
-after_answer request_run::note_answered() {
+connection_action request_run::note_answered() {
   relay_.note_length(admitted_.on_route->name, now() - in_.received);
   log_end(answer_.status(), "answered");
   return done();
@@ -90,7 +90,7 @@
   case next_send::uncounted:
     return true;
   case next_send::counted:
-    return now() < admitted_.deadline && relay_.may_repeat(admitted_.service);
+    return now() < admitted_.deadline && relay_.may_retry(admitted_.service);
   }
   return false;
 }
@@ -105,7 +105,7 @@
           .cut = answer_.cut()};
 }
 
-std::optional<placement> request_run::find_place() {
+std::optional<placement> request_run::choose_placement() {
   const auto& generation = admitted_.terms.generation;
   auto place = relay_.parts_.endpoints.place(
       {admitted_.service, generation ? &*generation : nullptr, avoid_});
@@ -125,11 +125,11 @@
 }
 
 send_outcome request_run::send_to(const placement& place, bool& prompt_read) {
-  connect_result reached = reach(place);
+  connect_result reached = open_connection(place);
   if (!reached.link)
-    return without_connection(reached.status);
+    return connect_failure(reached.status);
   if (!relay_.stop_.taking()) { // the cut may have come during the connect
-    relay_.connections_.give_back(place.endpoint, place.life, std::move(reached.link));
+    relay_.connections_.give_back(place.endpoint, place.local_incarnation, std::move(reached.link));
     return send_outcome::host_stopped;
   }
   if (sent_to_.empty())
@@ -145,7 +145,7 @@
   return end;
 }
 
-send_outcome request_run::without_connection(io_status why) noexcept {
+send_outcome request_run::connect_failure(io_status why) noexcept {
   if (why == io_status::caller_left)
     return send_outcome::caller_left;
   if (why == io_status::interrupted)
@@ -156,10 +156,10 @@
 
 // The connect is interrupted at the cut. Otherwise a silent endpoint could hold the request beyond
 // the time that is left for the last answers before the exit.
-connect_result request_run::reach(const placement& place) {
-  const time_ms most_idle = runs_once(*admitted_.on_route) ? relay_.options_.most_idle_run_once
-                                                           : relay_.options_.most_idle;
-  auto idle = relay_.connections_.take(place.endpoint, place.life, most_idle);
+connect_result request_run::open_connection(const placement& place) {
+  const time_ms max_idle =
+      runs_once(*admitted_.on_route) ? relay_.options_.max_idle_run_once : relay_.options_.max_idle;
+  auto idle = relay_.connections_.take(place.endpoint, place.local_incarnation, max_idle);
   if (idle)
     return {std::move(idle), io_status::ok};
   return connect_to(place.address, relay_.options_.connect_timeout, relay_.parts_.time, &watch_);
@@ -171,29 +171,29 @@
   const relay_options& options = relay_.options_;
   endpoint_exchange one{
       {parts.dialect, parts.endpoints, parts.time, admitted_, place, watch_, answer_},
-      {options.longest_silence, options.most_reply_head, options.most_buffered_body},
+      {options.longest_silence, options.max_reply_head, options.max_buffered_body},
       *link,
       static_cast<int>(sent_to_.size())};
-  const send_outcome end = one.go(endpoint_request(
+  const send_outcome end = one.run(endpoint_request(
       in_.head, in_.body, admitted_, place, answer_.events().last_id(), parts.dialect, now()));
   prompt_read = one.prompt_read();
   if (one.reusable())
-    relay_.connections_.give_back(place.endpoint, place.life, std::move(link));
+    relay_.connections_.give_back(place.endpoint, place.local_incarnation, std::move(link));
   else
     link->abort();
   return end;
 }
 
-after_answer request_run::give_up(send_outcome end) {
+connection_action request_run::give_up(send_outcome end) {
   const run_end how =
       end_of_run(end, progress(), admitted_.service, relay_.options_.full_retry_after);
   switch (how.answer) {
   case final_answer::none:
     log_end(0, how.reason);
-    return after_answer::abort;
+    return connection_action::abort;
   case final_answer::cut_stream:
     log_end(answer_.status(), how.reason);
-    return after_answer::abort;
+    return connection_action::abort;
   case final_answer::endpoints_error:
     return deliver_error(how.reason);
   case final_answer::refusal:
@@ -202,21 +202,21 @@
   return refuse(*how.refusal);
 }
 
-after_answer request_run::deliver_error(std::string_view reason) {
+connection_action request_run::deliver_error(std::string_view reason) {
   if (!answer_.deliver_kept()) {
     log_end(0, answer_.cut() ? "cut_by_stop" : "caller_gone");
-    return after_answer::abort;
+    return connection_action::abort;
   }
   log_end(answer_.status(), reason);
   return done();
 }
 
-after_answer request_run::refuse(const error& reason) {
-  told_end_ = ends_connection();
+connection_action request_run::refuse(const error& reason) {
+  announced_close_ = ends_connection();
   const std::string text =
-      refusal_text(relay_.parts_.dialect, reason, admitted_.terms.id, told_end_);
+      refusal_text(relay_.parts_.dialect, reason, admitted_.terms.id, announced_close_);
   log_end(answer_for(reason.kind()).http_status, reason.what());
-  return answer_.write(text) ? done() : after_answer::abort;
+  return answer_.write(text) ? done() : connection_action::abort;
 }
 
 bool request_run::ends_connection() const noexcept {
@@ -227,11 +227,11 @@
 // connection is closed if no further request has arrived, as the next one would only be refused. A
 // request that has already arrived is answered, with `Connection: close`: if it were dropped, its
 // caller could not tell whether it has run.
-after_answer request_run::done() const noexcept {
+connection_action request_run::done() const noexcept {
   if (!ends_connection())
-    return after_answer::next_request;
-  const bool told = told_end_ || answer_.told_end();
-  return told || in_.caller.quiet() ? after_answer::close : after_answer::next_request;
+    return connection_action::next_request;
+  const bool told = announced_close_ || answer_.announced_close();
+  return told || in_.caller.quiet() ? connection_action::close : connection_action::next_request;
 }
 
 std::uint64_t request_run::used() const noexcept {
--- a/src/relay/impl/request_run.hpp
+++ b/src/relay/impl/request_run.hpp
@@ -2,7 +2,7 @@
 
 #include "relay/impl/admitted_request.hpp"
 #include "relay/impl/caller_answer.hpp"
-#include "relay/impl/request_accounts.hpp"
+#include "relay/impl/request_accounting.hpp"
 #include "relay/impl/request_relay.hpp"
 #include "relay/impl/send_rules.hpp"
 
@@ -22,34 +22,34 @@
   request_run& operator=(const request_run&) = delete;
   ~request_run();
 
-  [[nodiscard]] after_answer go();
+  [[nodiscard]] connection_action run();
 
  private:
   /// \throws error when the maximum number of requests is exceeded
-  void check_room() const;
+  void check_capacity() const;
   /// \throws error when this host will stop before the request is likely to end
   void check_time_left() const;
-  void check_processor();
-  [[nodiscard]] after_answer run_sends();
+  void check_overload();
+  [[nodiscard]] connection_action run_sends();
   [[nodiscard]] bool may_send_again(send_outcome end);
   /// \returns nothing when the request has been sent to every suitable endpoint
   /// \throws error when there is no suitable endpoint at all
-  [[nodiscard]] std::optional<placement> find_place();
+  [[nodiscard]] std::optional<placement> choose_placement();
   [[nodiscard]] send_outcome send_once(const placement& place);
   /// \param prompt_read  set to whether the endpoint has begun to answer
   [[nodiscard]] send_outcome send_to(const placement& place, bool& prompt_read);
   [[nodiscard]] send_outcome exchange(const placement& place, std::unique_ptr<connection> link,
                                       bool& prompt_read);
-  [[nodiscard]] connect_result reach(const placement& place);
+  [[nodiscard]] connect_result open_connection(const placement& place);
   /// \param why  the status of the failed connect
-  [[nodiscard]] send_outcome without_connection(io_status why) noexcept;
-  [[nodiscard]] after_answer note_answered();
-  [[nodiscard]] after_answer give_up(send_outcome end);
+  [[nodiscard]] send_outcome connect_failure(io_status why) noexcept;
+  [[nodiscard]] connection_action note_answered();
+  [[nodiscard]] connection_action give_up(send_outcome end);
   /// \brief Forwards the error response of the last endpoint.
-  [[nodiscard]] after_answer deliver_error(std::string_view reason);
-  [[nodiscard]] after_answer refuse(const error& reason);
+  [[nodiscard]] connection_action deliver_error(std::string_view reason);
+  [[nodiscard]] connection_action refuse(const error& reason);
   [[nodiscard]] bool ends_connection() const noexcept;
-  [[nodiscard]] after_answer done() const noexcept;
+  [[nodiscard]] connection_action done() const noexcept;
   [[nodiscard]] send_progress progress() const noexcept;
   /// \returns the tokens used of the team's budget
   [[nodiscard]] std::uint64_t used() const noexcept;
@@ -68,7 +68,7 @@
   int unreachable_{0};
   bool may_have_run_{false};
   bool last_on_connection_{false}; ///< the caller should connect to another host
-  bool told_end_{false};           ///< the refusal contains `Connection: close`
+  bool announced_close_{false};    ///< the refusal contains `Connection: close`
 };
 
 } // namespace sedgechute
--- a/src/relay/impl/retry_allowance.cpp
+++ b/src/relay/impl/retry_limiter.cpp
@@ -1,16 +1,16 @@
-#include "relay/impl/retry_allowance.hpp"
+#include "relay/impl/retry_limiter.hpp"
 
 #include <algorithm>
 
 namespace sedgechute {
 
-std::int64_t retry_allowance::bucket_number(time_ms now) const noexcept {
+std::int64_t retry_limiter::bucket_number(time_ms now) const noexcept {
   const std::int64_t span =
       std::max<std::int64_t>(1, bounds_.window.count() / static_cast<std::int64_t>(buckets));
   return now.count() / span;
 }
 
-retry_allowance::bucket& retry_allowance::current(window& counts, time_ms now) const {
+retry_limiter::bucket& retry_limiter::current(window& counts, time_ms now) const {
   const std::int64_t number = bucket_number(now);
   bucket& at = counts[static_cast<std::size_t>(number) % counts.size()];
   if (at.number != number)
@@ -18,32 +18,32 @@
   return at;
 }
 
-retry_allowance::bucket retry_allowance::sum(const window& counts, time_ms now) const {
+retry_limiter::bucket retry_limiter::sum(const window& counts, time_ms now) const {
   const std::int64_t oldest = bucket_number(now) - static_cast<std::int64_t>(buckets);
   bucket total;
   for (const bucket& one : counts) {
     if (one.number < oldest)
       continue;
     total.requests += one.requests;
-    total.repeats += one.repeats;
+    total.retries += one.retries;
   }
   return total;
 }
 
-void retry_allowance::note_request(const std::string& service, time_ms now) {
+void retry_limiter::note_request(const std::string& service, time_ms now) {
   ++current(services_[service], now).requests;
 }
 
-bool retry_allowance::take_repeat(const std::string& service, std::size_t hosts, time_ms now) {
+bool retry_limiter::take_retry(const std::string& service, std::size_t hosts, time_ms now) {
   window& counts = services_[service];
   const bucket total = sum(counts, now);
   const double part =
       static_cast<double>(bounds_.slack) / static_cast<double>(std::max<std::size_t>(hosts, 1));
   const double most =
-      bounds_.used_part * (bounds_.ratio * static_cast<double>(total.requests) + part);
-  if (static_cast<double>(total.repeats + 1) > most)
+      bounds_.used_fraction * (bounds_.ratio * static_cast<double>(total.requests) + part);
+  if (static_cast<double>(total.retries + 1) > most)
     return false;
-  ++current(counts, now).repeats;
+  ++current(counts, now).retries;
   return true;
 }
 
--- a/src/relay/impl/retry_allowance.hpp
+++ b/src/relay/impl/retry_limiter.hpp
@@ -17,27 +17,27 @@
   time_ms window{10000};
   /// Fraction of the limit that is used. The rest is a margin, because windows slide and hosts
   /// count requests at other times than callers do.
-  double used_part{0.7};
+  double used_fraction{0.7};
 };
 
 /// \brief Retry budget: counts requests and retries of each service over a sliding window. Not
 /// thread-safe.
-class retry_allowance {
+class retry_limiter {
  public:
-  explicit retry_allowance(const retry_bounds& bounds) : bounds_{bounds} {}
+  explicit retry_limiter(const retry_bounds& bounds) : bounds_{bounds} {}
 
   void note_request(const std::string& service, time_ms now);
   /// \brief Takes one retry from the budget of a service.
   /// \param hosts  number of hosts that share the slack
   /// \returns false when the budget is used up
-  [[nodiscard]] bool take_repeat(const std::string& service, std::size_t hosts, time_ms now);
+  [[nodiscard]] bool take_retry(const std::string& service, std::size_t hosts, time_ms now);
 
  private:
   static constexpr std::size_t buckets = 10;
   struct bucket {
     std::int64_t number{-1};
     std::uint64_t requests{};
-    std::uint64_t repeats{};
+    std::uint64_t retries{};
   };
   using window = std::array<bucket, buckets + 1>; ///< the current bucket is incomplete, so one more
 
--- a/src/relay/impl/send_rules.cpp
+++ b/src/relay/impl/send_rules.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr int most_unreachable = 3; // failed connects per request
+constexpr int max_unreachable = 3; // failed connects per request
 
 // A stall is several times the usual duration: engines at full load are up to three times slower,
 // and an abandoned run is wasted work.
-constexpr std::int64_t targets_before_stall = 3;
+constexpr std::int64_t targets_until_stall = 3;
 constexpr std::int64_t pauses_before_stall = 5;
-constexpr time_ms least_stall{600};
+constexpr time_ms min_stall{600};
 
 failed_so_far failed_on(const route& on, int sends, bool may_have_run,
                         bool harmless_twice) noexcept {
   return {.may_have_run = may_have_run,
           .harmless_twice = harmless_twice,
           .attempts = static_cast<std::uint32_t>(sends),
-          .most_attempts = static_cast<std::uint32_t>(on.most_attempts)};
+          .most_attempts = static_cast<std::uint32_t>(on.max_attempts)};
 }
 
 run_end refused(error_kind kind, const std::string& where, const std::string& why,
@@ -55,7 +55,7 @@
     return next_send::none;
   case send_outcome::unreachable:
   case send_outcome::silent:
-    return so_far.unreachable < most_unreachable ? next_send::uncounted : next_send::none;
+    return so_far.unreachable < max_unreachable ? next_send::uncounted : next_send::none;
   case send_outcome::not_run:
     return counted_if(false, false);
   case send_outcome::own_error:
@@ -69,13 +69,12 @@
 
 // An endpoint that hangs cannot be told from a slow one. When the request may run again, waiting
 // for longer than several times the usual duration only delays the answer.
-time_ms patience_with_endpoint(const route& on, const send_progress& so_far,
-                               time_ms most) noexcept {
+time_ms stall_timeout(const route& on, const send_progress& so_far, time_ms most) noexcept {
   if (!may_run_again(on, so_far.sends))
     return most;
   if (so_far.events > 0)
-    return std::max(on.longest_pause * pauses_before_stall, least_stall);
-  return std::max(on.latency_target * targets_before_stall, least_stall);
+    return std::max(on.longest_pause * pauses_before_stall, min_stall);
+  return std::max(on.latency_target * targets_until_stall, min_stall);
 }
 
 run_end end_of_run(send_outcome end, const send_progress& so_far, const std::string& service,
@@ -103,10 +102,10 @@
 // short prompt that waits behind a long one misses its target, whereas the long one is hardly
 // delayed by a short one.
 int urgency_of(const route& on) noexcept {
-  constexpr std::int64_t ms_a_step = 200;
+  constexpr std::int64_t ms_per_step = 200;
   constexpr std::int64_t least_urgent = 8;
   return static_cast<int>(
-      std::clamp<std::int64_t>(on.latency_target.count() / ms_a_step, 0, least_urgent));
+      std::clamp<std::int64_t>(on.latency_target.count() / ms_per_step, 0, least_urgent));
 }
 
 } // namespace sedgechute
--- a/src/relay/impl/send_rules.hpp
+++ b/src/relay/impl/send_rules.hpp
@@ -41,8 +41,8 @@
 
 /// \param most  limit for a request that may not be run again
 /// \returns how long an endpoint may be silent before the request is sent elsewhere
-[[nodiscard]] time_ms patience_with_endpoint(const route& on, const send_progress& so_far,
-                                             time_ms most) noexcept;
+[[nodiscard]] time_ms stall_timeout(const route& on, const send_progress& so_far,
+                                    time_ms most) noexcept;
 
 /// \brief The caller's answer when its request failed and is not sent again.
 enum class final_answer {
--- a/src/relay/impl/wire_dialect.hpp
+++ b/src/relay/impl/wire_dialect.hpp
@@ -50,9 +50,10 @@
   virtual void to_endpoint(header_fields& fields, const endpoint_send& send) const = 0;
   [[nodiscard]] virtual reply_terms read_reply(const response_head& head) const = 0;
   /// \returns a request for an endpoint's status; it runs nothing
-  [[nodiscard]] virtual request_head self_question(const std::string& endpoint) const = 0;
+  [[nodiscard]] virtual request_head status_request(const std::string& endpoint) const = 0;
   /// \returns the start time in an endpoint's status, by its wall clock; nothing when it is absent
-  [[nodiscard]] virtual std::optional<time_ms> read_start(std::string_view self_answer) const = 0;
+  [[nodiscard]] virtual std::optional<time_ms>
+  parse_start_time(std::string_view status_body) const = 0;
   /// \brief Adds the fields of a refusal by this host.
   virtual void to_refusal(header_fields& fields, const std::string& attempt,
                           std::optional<time_ms> retry_after) const = 0;
--- a/tests/platform/header_dialect_test.cpp
+++ b/tests/platform/header_dialect_test.cpp
@@ -119,13 +119,13 @@
 
 TEST_CASE("an endpoint is asked what it says of itself, and its start is read from it") {
   const header_dialect dialect;
-  const request_head question = dialect.self_question("i-1");
+  const request_head question = dialect.status_request("i-1");
   CHECK(question.method == "GET");
   CHECK(question.target == "/report");
   CHECK(*question.fields.find("Expected-Instance") == "i-1");
-  CHECK(dialect.read_start(R"({"Phase":"unified","born":1790000000123})") ==
+  CHECK(dialect.parse_start_time(R"({"Phase":"unified","born":1790000000123})") ==
         time_ms{1'790'000'000'123});
-  CHECK_FALSE(dialect.read_start(R"({"Models":[{"born":1790000000123}]})"));
-  CHECK_FALSE(dialect.read_start("[1]"));
-  CHECK_FALSE(dialect.read_start(""));
+  CHECK_FALSE(dialect.parse_start_time(R"({"Models":[{"born":1790000000123}]})"));
+  CHECK_FALSE(dialect.parse_start_time("[1]"));
+  CHECK_FALSE(dialect.parse_start_time(""));
 }
--- a/tests/relay/caller_poll_test.cpp
+++ b/tests/relay/caller_poll_test.cpp
@@ -40,7 +40,7 @@
     callers.back().send(request_text("/unsafe/", "id-" + std::to_string(i), "", "POST"));
     CHECK(status_of(callers.back().read_all(time_ms{0}, time_ms{3000})) == 200);
   }
-  CHECK(at.door().connections() == 150);
+  CHECK(at.frontend().connections() == 150);
   CHECK(threads() <= before + 20);
   for (raw_caller& one : callers) { // each connection still works
     one.send(request_text("/unsafe/", "again", "", "POST"));
@@ -69,7 +69,7 @@
 // beyond the limit are refused at once by their header, and their connection is kept.
 TEST_CASE("a host with as many requests in preparation as it may have refuses more at once") {
   silent_address silent;
-  relay_fixture at{1000000, {.connect_timeout = time_ms{3000}, .most_preparing = 2}};
+  relay_fixture at{1000000, {.connect_timeout = time_ms{3000}, .max_preparing = 2}};
   at.add_endpoint("e1", silent.address());
   std::list<raw_caller> first;
   for (int i = 0; i < 2; ++i) {
--- a/tests/relay/choose_replica_test.cpp
+++ b/tests/relay/choose_replica_test.cpp
@@ -65,6 +65,6 @@
   endpoint.load = load_report{20, 5, 6};
   endpoint.load_age = time_ms{100};
   CHECK(expected_open(endpoint, weights) == 25);
-  endpoint.load_age = weights.load_stays + time_ms{1};
+  endpoint.load_age = weights.max_load_age + time_ms{1};
   CHECK(expected_open(endpoint, weights) == 1);
 }
--- a/tests/relay/elastic_pool_test.cpp
+++ b/tests/relay/elastic_pool_test.cpp
@@ -54,7 +54,7 @@
   gate held;
   std::atomic<int> ran{0};
   {
-    elastic_pool pool{{.most_threads = 2, .most_queued = 3}};
+    elastic_pool pool{{.max_threads = 2, .max_queued = 3}};
     for (int i = 0; i < 2; ++i)
       CHECK(pool.run([&] { held.pass(); }));
     held.wait_for(2);
--- a/tests/relay/endpoint_restart_property_test.cpp
+++ b/tests/relay/endpoint_restart_property_test.cpp
@@ -43,7 +43,7 @@
 constexpr time_ms first_start{1'790'000'000'000};
 constexpr time_ms step{100}; // below the first probe backoff; 80 steps are shorter than the time
                              // for which prefixes count as cached
-constexpr int longest_course = 80;
+constexpr int max_steps = 80;
 constexpr std::uint64_t this_host = 99; // sender of its own reports; others have small numbers
 
 const endpoint_id& name() {
@@ -61,14 +61,15 @@
 }
 
 /// Two hosts: one sees every event, the reference only those of the current incarnation.
-class course {
+class scenario {
  public:
-  course() {
-    seen_.on_restart([this](const endpoint_restart& found) { begin_life(found.started); });
+  scenario() {
+    observed_.on_restart(
+        [this](const endpoint_restart& found) { begin_incarnation(found.started); });
     read_list();
   }
 
-  void play(event next, std::uint32_t drawn) {
+  void apply(event next, std::uint32_t drawn) {
     time_.advance(step);
     switch (next) {
     case event::restart: // its wall clock may have been set forward or back
@@ -79,9 +80,9 @@
       listed_ = running_;
       break;
     case event::lapse:
-      seen_.remove(name());
-      only_.reset();
-      shown_.reset();
+      observed_.remove(name());
+      reference_.reset();
+      last_shown_.reset();
       break;
     case event::read_list:
       read_list();
@@ -90,7 +91,7 @@
       send();
       break;
     case event::begin:
-      on_send(drawn, [](endpoint_directory& at, const placement& of) { at.note_started(of); });
+      on_send(drawn, [](endpoint_directory& at, const placement& of) { at.note_prompt_read(of); });
       break;
     case event::load:
       on_send(drawn, [&](endpoint_directory& at, const placement& of) {
@@ -108,8 +109,8 @@
       report(drawn);
       break;
     case event::probe:
-      for (const auto& due : seen_.due_probes())
-        probes_.push_back({due, running_, life_});
+      for (const auto& due : observed_.due_probes())
+        probes_.push_back({due, running_, incarnation_number_});
       break;
     case event::answer:
       answer(drawn);
@@ -119,91 +120,93 @@
 
   /// Checks that both hosts place the next request alike and for the same reasons.
   void compare() {
-    const auto seen = seen_.place({"s", &terms(), {}});
-    const auto only = only_ ? only_->place({"s", &terms(), {}}) : std::nullopt;
-    RC_ASSERT(seen.has_value() == only.has_value());
+    const auto seen = observed_.place({"s", &terms(), {}});
+    const auto reference = reference_ ? reference_->place({"s", &terms(), {}}) : std::nullopt;
+    RC_ASSERT(seen.has_value() == reference.has_value());
     if (!seen)
       return;
-    RC_ASSERT(seen->incarnation == incarnation_of(name(), believed_));
-    RC_ASSERT(seen->expected_open == only->expected_open);
-    RC_ASSERT(seen->unread_before == only->unread_before);
-    RC_ASSERT(seen->missing_tokens == only->missing_tokens);
-    RC_ASSERT(seen->prompt_tokens == only->prompt_tokens);
-    RC_ASSERT(seen->load_age == only->load_age);
+    RC_ASSERT(seen->incarnation == incarnation_of(name(), current_start_));
+    RC_ASSERT(seen->expected_open == reference->expected_open);
+    RC_ASSERT(seen->unread_before == reference->unread_before);
+    RC_ASSERT(seen->missing_tokens == reference->missing_tokens);
+    RC_ASSERT(seen->prompt_tokens == reference->prompt_tokens);
+    RC_ASSERT(seen->load_age == reference->load_age);
     note_read(seen->incarnation);
-    seen_.release(*seen, send_outcome::caller_left, false);
-    only_->release(*only, send_outcome::caller_left, false);
+    observed_.release(*seen, send_outcome::caller_left, false);
+    reference_->release(*reference, send_outcome::caller_left, false);
   }
 
  private:
-  struct send_under_way {
+  struct pending_send {
     placement seen;
-    placement only; ///< of the same request on the reference host
-    std::uint64_t life{};
+    placement reference; ///< of the same request on the reference host
+    std::uint64_t incarnation_number{};
   };
-  struct probe_under_way {
+  struct pending_probe {
     endpoint_directory::probe asked;
     time_ms running; ///< start time of the endpoint when it was queried
-    std::uint64_t life{};
+    std::uint64_t incarnation_number{};
   };
 
   void read_list() {
-    const bool news = !shown_ || *shown_ != listed_;
-    const bool first = !shown_;
-    const time_ms before = believed_;
-    shown_ = listed_;
-    seen_.put(entry(listed_));
+    const bool news = !last_shown_ || *last_shown_ != listed_;
+    const bool first = !last_shown_;
+    const time_ms before = current_start_;
+    last_shown_ = listed_;
+    observed_.put(entry(listed_));
     if (first)
-      begin_life(listed_);
-    RC_ASSERT(believed_ == (news ? listed_ : before)); // a repeated entry changes nothing
+      begin_incarnation(listed_);
+    RC_ASSERT(current_start_ == (news ? listed_ : before)); // a repeated entry changes nothing
   }
 
   /// Creates a new reference host and passes it the other hosts' reports on this incarnation.
-  void begin_life(time_ms started) {
-    ++life_;
-    believed_ = started;
-    only_ = std::make_unique<endpoint_directory>(data_centre_id{"dc"}, choice_weights{}, time_);
-    only_->put(entry(started));
+  void begin_incarnation(time_ms started) {
+    ++incarnation_number_;
+    current_start_ = started;
+    reference_ =
+        std::make_unique<endpoint_directory>(data_centre_id{"dc"}, choice_weights{}, time_);
+    reference_->put(entry(started));
     for (const use_report& one : reports_)
-      only_->take_report(of_present(one));
+      reference_->take_report(for_current(one));
   }
 
-  [[nodiscard]] use_report of_present(use_report report) const {
-    const endpoint_hash present = incarnation_of(name(), believed_);
+  [[nodiscard]] use_report for_current(use_report report) const {
+    const endpoint_hash present = incarnation_of(name(), current_start_);
     std::erase_if(report.entries, [&](const use_entry& e) { return e.endpoint != present; });
-    std::erase_if(report.sightings, [&](const start_sighting& s) { return s.endpoint != present; });
+    std::erase_if(report.prefix_locations,
+                  [&](const prefix_location& s) { return s.endpoint != present; });
     return report;
   }
 
   void send() {
-    const auto seen = seen_.place({"s", &terms(), {}});
+    const auto seen = observed_.place({"s", &terms(), {}});
     if (!seen)
       return;
-    sends_.push_back({*seen, *only_->place({"s", &terms(), {}}), life_});
+    sends_.push_back({*seen, *reference_->place({"s", &terms(), {}}), incarnation_number_});
     note_read(seen->incarnation);
   }
 
   /// Records that the incarnation has cached the prefix; this holds while it runs, even if this
   /// host assumed another incarnation in between.
   void note_read(endpoint_hash at) {
-    take_report({this_host, ++number_, false, {}, {{shared_starts(terms()).back().hash, at}}});
+    take_report({this_host, ++number_, false, {}, {{shared_prefixes(terms()).back().hash, at}}});
   }
 
   void take_report(const use_report& report) {
     reports_.push_back(report);
-    seen_.take_report(report);
-    if (only_)
-      only_->take_report(of_present(report));
+    observed_.take_report(report);
+    if (reference_)
+      reference_->take_report(for_current(report));
   }
 
   template <typename Action>
   void on_send(std::uint32_t drawn, const Action& act) {
     if (sends_.empty())
       return;
-    const send_under_way& one = sends_[drawn % sends_.size()];
-    act(seen_, one.seen);
-    if (only_ && one.life == life_)
-      act(*only_, one.only);
+    const pending_send& one = sends_[drawn % sends_.size()];
+    act(observed_, one.seen);
+    if (reference_ && one.incarnation_number == incarnation_number_)
+      act(*reference_, one.reference);
   }
 
   void end(std::uint32_t drawn) {
@@ -219,46 +222,46 @@
 
   /// Sends a report of another host, which may know any incarnation up to the running one.
   void report(std::uint32_t drawn) {
-    const time_ms known = drawn % 3 == 0 ? running_ : drawn % 3 == 1 ? believed_ : first_start;
+    const time_ms known = drawn % 3 == 0 ? running_ : drawn % 3 == 1 ? current_start_ : first_start;
     const endpoint_hash at = incarnation_of(name(), known);
     take_report({1 + drawn % 2,
                  ++number_,
                  drawn % 5 == 0,
                  {{at, {drawn % 9, drawn % 900}}},
-                 {{shared_starts(terms()).back().hash, drawn % 4 == 0 ? at : 0}}});
+                 {{shared_prefixes(terms()).back().hash, drawn % 4 == 0 ? at : 0}}});
   }
 
   void answer(std::uint32_t drawn) {
     if (probes_.empty())
       return;
     const auto at = probes_.begin() + static_cast<std::ptrdiff_t>(drawn % probes_.size());
-    const probe_under_way one = *at;
+    const pending_probe one = *at;
     probes_.erase(at);
     const bool reached = drawn % 3 != 0;
     const bool silent = drawn % 2 == 0;
-    seen_.note_probe(one.asked, reached, silent);
-    if (only_ && one.life == life_)
-      only_->note_probe({name(), one.asked.address, 1, false}, reached, silent);
-    if (!reached || !one.asked.ask_start)
+    observed_.note_probe(one.asked, reached, silent);
+    if (reference_ && one.incarnation_number == incarnation_number_)
+      reference_->note_probe({name(), one.asked.address, 1, false}, reached, silent);
+    if (!reached || !one.asked.query_start_time)
       return;
-    const time_ms before = believed_;
-    const bool of_present = only_ && one.life == life_;
-    seen_.note_start(one.asked, one.running);
-    RC_ASSERT(believed_ == (of_present ? one.running : before));
+    const time_ms before = current_start_;
+    const bool for_current = reference_ && one.incarnation_number == incarnation_number_;
+    observed_.note_start_time(one.asked, one.running);
+    RC_ASSERT(current_start_ == (for_current ? one.running : before));
   }
 
   manual_clock time_;
-  endpoint_directory seen_{data_centre_id{"dc"}, choice_weights{}, time_};
-  std::unique_ptr<endpoint_directory> only_; ///< null: the endpoint is not in the list
+  endpoint_directory observed_{data_centre_id{"dc"}, choice_weights{}, time_};
+  std::unique_ptr<endpoint_directory> reference_; ///< null: the endpoint is not in the list
   time_ms running_{first_start};
   time_ms listed_{first_start};
-  std::optional<time_ms> shown_; ///< start time in the list when it was last read
-  time_ms believed_{first_start};
+  std::optional<time_ms> last_shown_; ///< start time in the list when it was last read
+  time_ms current_start_{first_start};
   std::int64_t starts_{0};
-  std::uint64_t life_{0};
+  std::uint64_t incarnation_number_{0};
   std::uint32_t number_{0};
-  std::vector<send_under_way> sends_;
-  std::vector<probe_under_way> probes_;
+  std::vector<pending_send> sends_;
+  std::vector<pending_probe> probes_;
   std::vector<use_report> reports_;
 };
 
@@ -267,11 +270,11 @@
 TEST_CASE("a belief never crosses incarnations") {
   CHECK(rc::check([] {
     const auto drawn =
-        *rc::gen::resize(longest_course, rc::gen::container<std::vector<std::uint32_t>>(
-                                             rc::gen::inRange<std::uint32_t>(0, 1'000'000)));
-    course run;
+        *rc::gen::resize(max_steps, rc::gen::container<std::vector<std::uint32_t>>(
+                                        rc::gen::inRange<std::uint32_t>(0, 1'000'000)));
+    scenario run;
     for (const std::uint32_t one : drawn) {
-      run.play(events[one % events.size()], one / events.size());
+      run.apply(events[one % events.size()], one / events.size());
       run.compare();
     }
   }));
--- a/tests/relay/endpoint_restart_test.cpp
+++ b/tests/relay/endpoint_restart_test.cpp
@@ -38,7 +38,7 @@
   /// Does what the prober does with an endpoint's reply.
   void answer(const endpoint_directory::probe& asked, std::optional<time_ms> started) {
     directory.note_probe(asked, true, false);
-    directory.note_start(asked, started);
+    directory.note_start_time(asked, started);
   }
 
   std::vector<endpoint_restart> restarts;
@@ -77,7 +77,7 @@
   const placement early = at.place(&terms);
   at.directory.put(entry("e", later));
   const placement late = at.place(&terms);
-  at.directory.note_started(early);
+  at.directory.note_prompt_read(early);
   at.directory.note_load(early, {60, 9, 64});
   at.directory.note_leaving(early);
   at.directory.release(early, send_outcome::unreachable, false);
@@ -122,7 +122,7 @@
 TEST_CASE("what other hosts tell belongs to one incarnation") {
   fixture at;
   const generation_terms terms = subject();
-  const std::uint64_t start = shared_starts(terms).back().hash;
+  const std::uint64_t start = shared_prefixes(terms).back().hash;
   const endpoint_hash before = incarnation_of(endpoint_id{"e"}, first_start);
   const endpoint_hash now = incarnation_of(endpoint_id{"e"}, later);
   at.directory.take_report({1, 1, true, {{before, {7, 900}}}, {{start, before}}});
@@ -143,7 +143,7 @@
   (void)at.place(&terms);
   at.directory.put(entry("e", later));
   CHECK(at.directory.own_use(false).empty());
-  for (const start_sighting& told : at.directory.take_own_sightings())
+  for (const prefix_location& told : at.directory.take_own_prefix_locations())
     CHECK(told.endpoint == incarnation_of(endpoint_id{"e"}, first_start));
   (void)at.place(&terms);
   const auto told = at.directory.own_use(false);
@@ -260,7 +260,7 @@
   at.directory.release(cut, send_outcome::failed, false);
   const auto asked = at.directory.due_probes();
   REQUIRE(asked.size() == 1);
-  CHECK(asked[0].ask_start);
+  CHECK(asked[0].query_start_time);
   at.answer(asked[0], older_looking);
   CHECK(at.place().expected_open == 0);
   REQUIRE(at.restarts.size() == 1);
@@ -315,7 +315,7 @@
   int asked = 0;
   for (int i = 0; i < 40; ++i) {
     for (const auto& probe : at.directory.due_probes()) {
-      at.directory.note_start(probe, std::nullopt);
+      at.directory.note_start_time(probe, std::nullopt);
       ++asked;
     }
     at.time.advance(time_ms{500});
--- a/tests/relay/host_pressure_test.cpp
+++ b/tests/relay/host_pressure_test.cpp
@@ -15,7 +15,7 @@
 // retries earlier is refused again.
 TEST_CASE("a caller with time comes back when the balancer has turned from the busy host") {
   const time_ms wait = retry_after_pressure(time_ms{12000}, time_ms{300}, 0, options);
-  CHECK(wait == options.dealt_after - time_ms{300});
+  CHECK(wait == options.balancer_delay - time_ms{300});
   CHECK(retry_after_pressure(time_ms{12000}, time_ms{300}, middle, options) > wait);
   CHECK(retry_after_pressure(time_ms{12000}, time_ms{60000}, 0, options) == options.soon);
   CHECK(retry_after_pressure(time_ms{3000}, time_ms{300}, 0, options) == time_ms{1000});
@@ -26,7 +26,7 @@
     for (const std::int64_t busy : {0, 500, 2000, 9000})
       for (const double drawn : {0.0, 0.3, 0.99}) {
         const time_ms wait = retry_after_pressure(time_ms{left}, time_ms{busy}, drawn, options);
-        const bool usable = wait * options.usable_parts <= time_ms{left};
+        const bool usable = wait * options.usable_divisor <= time_ms{left};
         CHECK((usable || wait == options.soon));
       }
 }
@@ -51,7 +51,7 @@
     shedding.note_requests(3, 5, look);
   }
   CHECK(shedding.busy());
-  CHECK(shedding.refused_part() == 0);
+  CHECK(shedding.refused_fraction() == 0);
   for (int i = 0; i < 60; ++i)
     shedding.note_requests(0, 1, look);
   CHECK_FALSE(shedding.busy());
--- a/tests/relay/load_shedding_test.cpp
+++ b/tests/relay/load_shedding_test.cpp
@@ -16,7 +16,7 @@
   /// \param load  offered work as a fraction of the processor's capacity
   void run(double load, time_ms span) {
     for (time_ms at{}; at < span; at += look) {
-      const double taken = load * (1 - shedding.refused_part());
+      const double taken = load * (1 - shedding.refused_fraction());
       waiting_ms_ = std::max(0.0, waiting_ms_ + (taken - 1) * static_cast<double>(look.count()));
       const double late = std::min(waiting_ms_ / 10, 40.0) + (taken > 0.9 ? 1.0 : 0.0);
       shedding.note_wake_up(time_ms{static_cast<std::int64_t>(late)}, look);
@@ -38,7 +38,7 @@
 TEST_CASE("a host with time to spare refuses nothing") {
   host_model host;
   host.run(0.5, time_ms{20000});
-  CHECK(host.shedding.refused_part() == 0);
+  CHECK(host.shedding.refused_fraction() == 0);
   CHECK_FALSE(host.shedding.busy());
 }
 
@@ -48,11 +48,11 @@
 TEST_CASE("a host that gets twice what it can carry refuses half, within seconds") {
   host_model host;
   host.run(2.0, time_ms{2000});
-  CHECK(host.shedding.refused_part() > 0.3);
+  CHECK(host.shedding.refused_fraction() > 0.3);
   CHECK(host.shedding.busy());
   host.run(2.0, time_ms{8000});
-  CHECK(host.shedding.refused_part() > 0.4);
-  CHECK(host.shedding.refused_part() < 0.75);
+  CHECK(host.shedding.refused_fraction() > 0.4);
+  CHECK(host.shedding.refused_fraction() < 0.75);
   CHECK(host.waiting_ms() < 200);
 }
 
@@ -61,7 +61,7 @@
   host.run(3.0, time_ms{5000});
   REQUIRE(host.shedding.busy());
   host.run(0.2, time_ms{6000});
-  CHECK(host.shedding.refused_part() == 0);
+  CHECK(host.shedding.refused_fraction() == 0);
   CHECK_FALSE(host.shedding.busy());
 }
 
@@ -69,15 +69,15 @@
 TEST_CASE("one late wake-up refuses little") {
   load_shedding shedding{shedding_options{}};
   shedding.note_wake_up(time_ms{4000}, time_ms{4050});
-  CHECK(shedding.refused_part() <= 0.4);
+  CHECK(shedding.refused_fraction() <= 0.4);
   for (int i = 0; i < 60; ++i)
     shedding.note_wake_up(time_ms{0}, look);
-  CHECK(shedding.refused_part() < 0.2);
+  CHECK(shedding.refused_fraction() < 0.2);
 }
 
 TEST_CASE("some requests are always taken") {
   load_shedding shedding{shedding_options{}};
   for (int i = 0; i < 1000; ++i)
     shedding.note_wake_up(time_ms{90}, time_ms{140});
-  CHECK(shedding.refused_part() <= 0.9);
+  CHECK(shedding.refused_fraction() <= 0.9);
 }
--- a/tests/relay/load_board_test.cpp
+++ b/tests/relay/peer_load_table_test.cpp
@@ -15,7 +15,7 @@
 
 TEST_CASE("a report reads back as it was sent") {
   use_report sent = report_of(5, 9, {{1, {2, 3}}, {4, {5, 6}}}, true);
-  sent.sightings = {{77, 1}, {78, 4}};
+  sent.prefix_locations = {{77, 1}, {78, 4}};
   const auto read = decode_use_report(encode_use_report(sent));
   REQUIRE(read.has_value());
   CHECK(read->sender == 5);
@@ -23,8 +23,8 @@
   CHECK(read->whole);
   REQUIRE(read->entries.size() == 2);
   CHECK(read->entries[1].use == endpoint_use{5, 6});
-  REQUIRE(read->sightings.size() == 2);
-  CHECK(read->sightings[1].endpoint == 4);
+  REQUIRE(read->prefix_locations.size() == 2);
+  CHECK(read->prefix_locations[1].endpoint == 4);
 }
 
 TEST_CASE("a datagram that is cut or of another format is refused") {
@@ -48,38 +48,38 @@
 }
 
 TEST_CASE("uses of all hosts add up, and later values replace earlier ones") {
-  load_board board{time_ms{3000}};
-  board.take(report_of(1, 1, {{10, {4, 400}}}), time_ms{0});
-  board.take(report_of(2, 1, {{10, {1, 100}}}), time_ms{0});
-  CHECK(board.at(10) == endpoint_use{5, 500});
-  board.take(report_of(1, 2, {{10, {2, 0}}}), time_ms{10});
-  CHECK(board.at(10) == endpoint_use{3, 100});
+  peer_load_table table{time_ms{3000}};
+  table.take(report_of(1, 1, {{10, {4, 400}}}), time_ms{0});
+  table.take(report_of(2, 1, {{10, {1, 100}}}), time_ms{0});
+  CHECK(table.at(10) == endpoint_use{5, 500});
+  table.take(report_of(1, 2, {{10, {2, 0}}}), time_ms{10});
+  CHECK(table.at(10) == endpoint_use{3, 100});
 }
 
 // Datagrams may be reordered: an older one must not overwrite a newer one.
 TEST_CASE("a report that comes late is dropped") {
-  load_board board{time_ms{3000}};
-  board.take(report_of(1, 5, {{10, {4, 400}}}), time_ms{0});
-  board.take(report_of(1, 4, {{10, {9, 900}}}), time_ms{1});
-  CHECK(board.at(10) == endpoint_use{4, 400});
+  peer_load_table table{time_ms{3000}};
+  table.take(report_of(1, 5, {{10, {4, 400}}}), time_ms{0});
+  table.take(report_of(1, 4, {{10, {9, 900}}}), time_ms{1});
+  CHECK(table.at(10) == endpoint_use{4, 400});
 }
 
 // The datagram with the end of an endpoint's use was lost. The next full report has no entry for
 // the endpoint, which clears its use.
 TEST_CASE("a whole report clears what it does not name") {
-  load_board board{time_ms{3000}};
-  board.take(report_of(1, 1, {{10, {4, 400}}, {11, {1, 1}}}), time_ms{0});
-  board.take(report_of(1, 2, {{11, {2, 2}}}, true), time_ms{1});
-  CHECK(board.at(10) == endpoint_use{});
-  CHECK(board.at(11) == endpoint_use{2, 2});
+  peer_load_table table{time_ms{3000}};
+  table.take(report_of(1, 1, {{10, {4, 400}}, {11, {1, 1}}}), time_ms{0});
+  table.take(report_of(1, 2, {{11, {2, 2}}}, true), time_ms{1});
+  CHECK(table.at(10) == endpoint_use{});
+  CHECK(table.at(11) == endpoint_use{2, 2});
 }
 
 TEST_CASE("a host that fell silent no longer counts") {
-  load_board board{time_ms{3000}};
-  board.take(report_of(1, 1, {{10, {4, 400}}}), time_ms{0});
-  board.forget_silent(time_ms{2999});
-  CHECK(board.at(10) == endpoint_use{4, 400});
-  board.forget_silent(time_ms{3001});
-  CHECK(board.at(10) == endpoint_use{});
-  CHECK(board.hosts() == 0);
+  peer_load_table table{time_ms{3000}};
+  table.take(report_of(1, 1, {{10, {4, 400}}}), time_ms{0});
+  table.remove_silent(time_ms{2999});
+  CHECK(table.at(10) == endpoint_use{4, 400});
+  table.remove_silent(time_ms{3001});
+  CHECK(table.at(10) == endpoint_use{});
+  CHECK(table.hosts() == 0);
 }
--- a/tests/relay/prompt_starts_test.cpp
+++ b/tests/relay/prefix_index_test.cpp
@@ -13,8 +13,8 @@
 } // namespace
 
 TEST_CASE("prompts share a start as far as their parts are the same") {
-  const auto one = shared_starts(prompt_of({{"a", 100}, {"b", 200}, {"own-1", 50}}));
-  const auto two = shared_starts(prompt_of({{"a", 100}, {"c", 300}, {"own-2", 50}}));
+  const auto one = shared_prefixes(prompt_of({{"a", 100}, {"b", 200}, {"own-1", 50}}));
+  const auto two = shared_prefixes(prompt_of({{"a", 100}, {"c", 300}, {"own-2", 50}}));
   REQUIRE(one.size() == 2);
   REQUIRE(two.size() == 2);
   CHECK(one[0].hash == two[0].hash);
@@ -23,19 +23,19 @@
 }
 
 TEST_CASE("a prompt of a single part shares nothing") {
-  CHECK(shared_starts(prompt_of({{"own", 50}})).empty());
-  CHECK(shared_starts(prompt_of({})).empty());
+  CHECK(shared_prefixes(prompt_of({{"own", 50}})).empty());
+  CHECK(shared_prefixes(prompt_of({})).empty());
 }
 
 TEST_CASE("an endpoint keeps the longest start that was sent to it, for a while") {
-  const auto starts = shared_starts(prompt_of({{"a", 100}, {"b", 200}, {"own", 50}}));
-  prompt_starts seen{time_ms{5000}};
+  const auto starts = shared_prefixes(prompt_of({{"a", 100}, {"b", 200}, {"own", 50}}));
+  prefix_index seen{time_ms{5000}};
   seen.note({starts[0].hash, 7}, time_ms{1000});
   CHECK(seen.tokens_at(starts, 7, time_ms{2000}) == 100);
   seen.note({starts[1].hash, 7}, time_ms{3000});
   CHECK(seen.tokens_at(starts, 7, time_ms{3500}) == 300);
   CHECK(seen.tokens_at(starts, 8, time_ms{3500}) == 0);
   CHECK(seen.tokens_at(starts, 7, time_ms{9000}) == 0);
-  seen.forget_old(time_ms{20000});
+  seen.remove_expired(time_ms{20000});
   CHECK(seen.size() == 0);
 }
--- a/tests/relay/preparing_requests_test.cpp
+++ b/tests/relay/preparing_requests_test.cpp
@@ -29,7 +29,7 @@
 
  private:
   preparing_requests preparing_;
-  std::vector<preparing_requests::mark> taken_;
+  std::vector<preparing_requests::guard> taken_;
 };
 
 } // namespace
@@ -61,21 +61,21 @@
 }
 
 TEST_CASE("a small host still prepares some requests at a time") {
-  CHECK(most_preparing(0.001) == 8);
-  CHECK(most_preparing(0.12) == 48);
-  CHECK(most_preparing(0.5) == 200);
+  CHECK(max_preparing(0.001) == 8);
+  CHECK(max_preparing(0.12) == 48);
+  CHECK(max_preparing(0.5) == 200);
 }
 
 TEST_CASE("a request counts for its team once that is known, and until it ends") {
   preparing_requests all;
-  auto mark = all.begin("");
+  auto guard = all.begin("");
   CHECK(all.load("a").of_team == 0);
-  mark.belong_to("a");
+  guard.assign_team("a");
   CHECK(all.total() == 1);
   CHECK(all.load("a").of_team == 1);
   CHECK(all.load("a").teams == 1);
   CHECK(all.load("b").teams == 2);
-  preparing_requests::mark moved{std::move(mark)};
+  preparing_requests::guard moved{std::move(guard)};
   CHECK(all.total() == 1);
   moved.end();
   moved.end();
--- a/tests/relay/reach_watch_test.cpp
+++ b/tests/relay/reachability_tracker_test.cpp
@@ -18,7 +18,7 @@
 // A data centre is cut off, and connects to its endpoints time out. After three of them no request
 // waits for a fourth.
 TEST_CASE("three silent endpoints tell that their data centre is cut off") {
-  reach_watch watch{reach_options{}};
+  reachability_tracker watch{reachability_options{}};
   for (int i = 0; i < 3; ++i) {
     CHECK(watch.reachable(endpoint(9), there));
     watch.note_unreachable(endpoint(i), there, true, time_ms{100});
@@ -30,7 +30,7 @@
 // The network recovers and one probe succeeds: all endpoints of the data centre are used again at
 // once.
 TEST_CASE("one answer opens a data centre again") {
-  reach_watch watch{reach_options{}};
+  reachability_tracker watch{reachability_options{}};
   for (int i = 0; i < 5; ++i)
     watch.note_unreachable(endpoint(i), there, true, time_ms{100});
   watch.note_reachable(endpoint(2), there);
@@ -39,7 +39,7 @@
 }
 
 TEST_CASE("crashed endpoints that refuse connections say nothing of their data centre") {
-  reach_watch watch{reach_options{}};
+  reachability_tracker watch{reachability_options{}};
   for (int i = 0; i < 5; ++i)
     watch.note_unreachable(endpoint(i), there, false, time_ms{100});
   CHECK(watch.reachable(endpoint(9), there));
@@ -47,12 +47,12 @@
 }
 
 TEST_CASE("probes come at growing intervals and few at a time") {
-  reach_watch watch{reach_options{}};
+  reachability_tracker watch{reachability_options{}};
   for (int i = 0; i < 10; ++i)
     watch.note_unreachable(endpoint(i), there, true, time_ms{0});
   CHECK(watch.due(time_ms{100}).empty());
-  CHECK(watch.due(time_ms{300}).size() == reach_options{}.most_probes);
-  reach_watch single{reach_options{}};
+  CHECK(watch.due(time_ms{300}).size() == reachability_options{}.max_probes);
+  reachability_tracker single{reachability_options{}};
   single.note_unreachable(endpoint(1), there, false, time_ms{0});
   CHECK(single.due(time_ms{250}).size() == 1);
   single.note_unreachable(endpoint(1), there, false, time_ms{250});
@@ -63,7 +63,7 @@
 // Three silent endpoints of a data centre were replaced before any probe reached them. The data
 // centre stayed unreachable for good, as no unreachable endpoint was left to be probed.
 TEST_CASE("endpoints that are forgotten do not keep their data centre cut") {
-  reach_watch watch{reach_options{}};
+  reachability_tracker watch{reachability_options{}};
   const data_centre_id centre{"dc"};
   for (const char* id : {"a", "b", "c"})
     watch.note_unreachable(endpoint_id{id}, centre, true, time_ms{0});
--- a/tests/relay/relay_fixture.cpp
+++ b/tests/relay/relay_fixture.cpp
@@ -25,7 +25,7 @@
     made.timeout = time_ms{2000};
     made.latency_target = time_ms{150};
     made.longest_pause = time_ms{50};
-    made.most_attempts = attempts;
+    made.max_attempts = attempts;
     made.resumable = resumable;
     made.services = {{"s", 1}};
     config->add_route(made);
@@ -41,7 +41,7 @@
 
 std::vector<std::unique_ptr<account_log>> one_log() {
   std::vector<std::unique_ptr<account_log>> logs;
-  logs.push_back(std::make_unique<lone_account_log>());
+  logs.push_back(std::make_unique<memory_account_log>());
   return logs;
 }
 
@@ -87,10 +87,10 @@
                            [] { return std::size_t{1}; },
                            {.sheds = [this] { return busy_.load(); }}},
       options);
-  door_ = std::make_unique<front_door>(
-      *relay_, dialect_, [this] { return config_->limits; }, front_door_options{}, socket_, time_,
-      log_);
-  door_->start();
+  frontend_ = std::make_unique<http_frontend>(
+      *relay_, dialect_, [this] { return config_->limits; }, http_frontend_options{}, socket_,
+      time_, log_);
+  frontend_->start();
 }
 
 void relay_fixture::add_endpoint(const std::string& id, const std::string& address,
--- a/tests/relay/relay_fixture.hpp
+++ b/tests/relay/relay_fixture.hpp
@@ -12,7 +12,7 @@
 namespace sedgechute {
 
 /// \brief An in-memory account log with a single writer.
-class lone_account_log final : public account_log {
+class memory_account_log final : public account_log {
  public:
   account_page newest() override { return read(0); }
   account_page retained() override { return read(0); }
@@ -75,7 +75,7 @@
   [[nodiscard]] std::string address() const { return socket_.address().toString(); }
   [[nodiscard]] endpoint_directory& endpoints() noexcept { return endpoints_; }
   [[nodiscard]] budget_desk& budgets() noexcept { return *budgets_; }
-  [[nodiscard]] front_door& door() noexcept { return *door_; }
+  [[nodiscard]] http_frontend& frontend() noexcept { return *frontend_; }
   [[nodiscard]] request_relay& relay() noexcept { return *relay_; }
   /// \brief Lets the relay refuse new requests as on a host with an overloaded processor.
   void set_busy(bool busy) noexcept { busy_ = busy; }
@@ -97,7 +97,7 @@
   std::unique_ptr<budget_desk> budgets_;
   std::unique_ptr<request_relay> relay_;
   Poco::Net::ServerSocket socket_;
-  std::unique_ptr<front_door> door_;
+  std::unique_ptr<http_frontend> frontend_;
 };
 
 /// \returns the bytes of a request with the key of the only team
--- a/tests/relay/request_path_test.cpp
+++ b/tests/relay/request_path_test.cpp
@@ -379,7 +379,7 @@
   connection link{unread.acceptConnection(), time};
   const std::string text = request_text("/unsafe/", "id-1", "", "POST");
   incoming_request request{parse_request_head(text), {}, time.now(), link, false};
-  CHECK(at.relay().serve(request) == after_answer::abort);
+  CHECK(at.relay().serve(request) == connection_action::abort);
   std::this_thread::sleep_for(std::chrono::milliseconds{200}); // a send would have arrived by now
   CHECK(endpoint.seen().empty());
 }
@@ -392,7 +392,7 @@
     return scripted_reply{hangs ? "" : whole_answer(attempt_of(request), "x"),
                           hangs ? then::hang : then::keep, ""};
   }};
-  relay_fixture at{1000000, {.most_open = 1}};
+  relay_fixture at{1000000, {.max_open = 1}};
   at.add_endpoint("e1", endpoint.address());
   raw_caller first{at.address()};
   first.send(request_text("/unsafe/", "id-1", "", "POST"));
--- a/tests/relay/request_preview_test.cpp
+++ b/tests/relay/request_preview_test.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::size_t most_header = 1024;
-constexpr std::size_t most_body = 4096;
+constexpr std::size_t max_header = 1024;
+constexpr std::size_t max_body = 4096;
 
 request_preview preview(const std::string& bytes) {
-  return preview_request(bytes, most_header, most_body);
+  return preview_request(bytes, max_header, max_body);
 }
 
 } // namespace
@@ -36,5 +36,5 @@
         preview_state::other);
   CHECK(preview("POST /a HTTP/1.1\r\nContent-Length: 5000\r\n\r\n").state == preview_state::other);
   CHECK(preview("no request\r\n\r\n").state == preview_state::other);
-  CHECK(preview(std::string(most_header + 1, 'a')).state == preview_state::other);
+  CHECK(preview(std::string(max_header + 1, 'a')).state == preview_state::other);
 }
--- a/tests/relay/restarted_endpoint_test.cpp
+++ b/tests/relay/restarted_endpoint_test.cpp
@@ -26,13 +26,13 @@
 }
 
 /// An endpoint's reply to a status request.
-scripted_reply says_start(const std::string& body) {
+scripted_reply status_reply(const std::string& body) {
   return {"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
               std::to_string(body.size()) + "\r\n\r\n" + body,
           then::close, ""};
 }
 
-std::string self_report(time_ms started) {
+std::string status_json(time_ms started) {
   return R"({"Phase":"unified","Busy":false,"born":)" + std::to_string(started.count()) + "}";
 }
 
@@ -50,8 +50,8 @@
 }
 
 /// The first incarnation resets its connection, as in a crash; the second is listed at once.
-struct crashing {
-  explicit crashing(scripted_endpoint::script later)
+struct crashing_endpoint {
+  explicit crashing_endpoint(scripted_endpoint::script later)
       : second{std::move(later)}, first{[this](const auto&) {
           at.add_endpoint("e", second.address(), second_start);
           return scripted_reply{"", then::reset, ""};
@@ -70,7 +70,7 @@
 // incarnation it could run twice, and reported as not run it would be sent again by the caller.
 TEST_CASE("what may have run in an earlier life is neither run again nor refused as not run") {
   for (const auto& later : {whole, full}) {
-    crashing it{later};
+    crashing_endpoint it{later};
     const int status = status_of(call(it.at, "/unsafe/", "id-1", "POST", "order"));
     CHECK(status == 502);
     CHECK(it.first.seen().size() == 1);
@@ -79,7 +79,7 @@
 }
 
 TEST_CASE("a stream that may run once stays cut when its endpoint is back") {
-  crashing it{whole};
+  crashing_endpoint it{whole};
   CHECK(status_of(call(it.at, "/once/", "id-1", "POST", "p")) == 502);
   CHECK(it.second.seen().empty());
 }
@@ -87,7 +87,7 @@
 // The only endpoint crashed with a request that may be repeated. Its next incarnation was excluded
 // as the endpoint that had failed, and the caller got an error although the endpoint was there.
 TEST_CASE("a request that may run again goes to the next life of its endpoint") {
-  crashing it{whole};
+  crashing_endpoint it{whole};
   CHECK(status_of(call(it.at, "/safe/", "id-1")) == 200);
   CHECK(it.second.seen().size() == 1);
 }
@@ -95,7 +95,7 @@
 // The new incarnation is full and replies that it did not run the request. The earlier one may
 // have.
 TEST_CASE("a new life's word that it did not run a request says nothing of the earlier life") {
-  crashing it{full};
+  crashing_endpoint it{full};
   CHECK(status_of(call(it.at, "/safe/", "id-1")) == 502);
   CHECK(it.second.seen().size() == 1);
 }
@@ -193,7 +193,7 @@
   prober.start();
   const scripted_endpoint second{[](const auto& request) {
                                    return request.head.target == "/report"
-                                              ? says_start(self_report(second_start))
+                                              ? status_reply(status_json(second_start))
                                               : whole(request);
                                  },
                                  address};
@@ -218,13 +218,13 @@
   const auto ask = [&](const scripted_reply& reply) {
     const scripted_endpoint endpoint{[&](const auto&) { return reply; }};
     const auto link = connect_to(endpoint.address(), time_ms{500}, time).link;
-    return ask_start(*link, endpoint_id{"e"}, dialect, time.now() + time_ms{200});
+    return query_start_time(*link, endpoint_id{"e"}, dialect, time.now() + time_ms{200});
   };
-  CHECK(ask(says_start(self_report(first_start))) == first_start);
-  CHECK_FALSE(ask(says_start("{}")));
-  CHECK_FALSE(ask(says_start(R"({"born":"1790000000000"})")));
-  CHECK_FALSE(ask(says_start(R"({"born":1790000000000.5})")));
-  CHECK_FALSE(ask(says_start("not JSON")));
+  CHECK(ask(status_reply(status_json(first_start))) == first_start);
+  CHECK_FALSE(ask(status_reply("{}")));
+  CHECK_FALSE(ask(status_reply(R"({"born":"1790000000000"})")));
+  CHECK_FALSE(ask(status_reply(R"({"born":1790000000000.5})")));
+  CHECK_FALSE(ask(status_reply("not JSON")));
   CHECK_FALSE(ask({"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", then::close, ""}));
   CHECK_FALSE(ask({"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{", then::close, ""}));
   CHECK_FALSE(ask({"garbage\r\n\r\n", then::close, ""}));
--- a/tests/relay/repeat_bound_test.cpp
+++ b/tests/relay/retry_limit_test.cpp
@@ -13,7 +13,7 @@
   scripted_endpoint first{breaks_off};
   scripted_endpoint second{breaks_off};
   relay_options options;
-  options.retries = {.ratio = 0.5, .slack = 1, .window = time_ms{60000}, .used_part = 1.0};
+  options.retries = {.ratio = 0.5, .slack = 1, .window = time_ms{60000}, .used_fraction = 1.0};
   relay_fixture at{1000000, options};
   at.add_endpoint("e1", first.address());
   at.add_endpoint("e2", second.address());
--- a/tests/relay/retry_allowance_test.cpp
+++ b/tests/relay/retry_limiter_test.cpp
@@ -8,14 +8,14 @@
 // the retries must stay within the host's share of the limit.
 TEST_CASE("repeats stay within the bound in every window") {
   const retry_bounds bounds{.ratio = 0.2, .slack = 58, .window = time_ms{10000}};
-  retry_allowance allowance{bounds};
+  retry_limiter allowance{bounds};
   constexpr std::size_t hosts = 9;
   std::vector<std::int64_t> repeats;
   std::vector<std::int64_t> requests;
   for (std::int64_t now = 0; now < 30000; now += 50) {
     allowance.note_request("s", time_ms{now});
     requests.push_back(now);
-    if (allowance.take_repeat("s", hosts, time_ms{now}))
+    if (allowance.take_retry("s", hosts, time_ms{now}))
       repeats.push_back(now);
   }
   CHECK(repeats.size() > 20);
@@ -30,10 +30,10 @@
 // Retries at one time use up the limit for a whole window: during it none are left, and after it
 // all are available again.
 TEST_CASE("repeats count for a whole window") {
-  retry_allowance allowance{{.ratio = 0.2, .slack = 10, .window = time_ms{10000}}};
+  retry_limiter allowance{{.ratio = 0.2, .slack = 10, .window = time_ms{10000}}};
   const auto taken_at = [&](time_ms now) {
     int taken = 0;
-    while (taken < 20 && allowance.take_repeat("a", 1, now))
+    while (taken < 20 && allowance.take_retry("a", 1, now))
       ++taken;
     return taken;
   };
@@ -44,10 +44,10 @@
 }
 
 TEST_CASE("services do not draw on each other's allowance") {
-  retry_allowance allowance{{.ratio = 0.2, .slack = 10, .window = time_ms{10000}}};
+  retry_limiter allowance{{.ratio = 0.2, .slack = 10, .window = time_ms{10000}}};
   int first = 0;
-  while (allowance.take_repeat("a", 1, time_ms{100}))
+  while (allowance.take_retry("a", 1, time_ms{100}))
     ++first;
   CHECK(first == 7);
-  CHECK(allowance.take_repeat("b", 1, time_ms{100}));
+  CHECK(allowance.take_retry("b", 1, time_ms{100}));
 }
--- a/tests/relay/send_rules_test.cpp
+++ b/tests/relay/send_rules_test.cpp
@@ -10,7 +10,7 @@
   route on;
   on.kind = kind;
   on.resumable = resumable;
-  on.most_attempts = 3;
+  on.max_attempts = 3;
   on.latency_target = time_ms{400};
   on.longest_pause = time_ms{200};
   return on;
@@ -68,11 +68,11 @@
 
 TEST_CASE("an endpoint that says nothing is waited for as long as no other may be asked") {
   const time_ms most{60000};
-  CHECK(patience_with_endpoint(route_of(request_kind::unsafe), {}, most) == most);
+  CHECK(stall_timeout(route_of(request_kind::unsafe), {}, most) == most);
   const route on = route_of(request_kind::stream, true);
-  CHECK(patience_with_endpoint(on, {.sends = 1}, most) == time_ms{1200});
-  CHECK(patience_with_endpoint(on, {.sends = 1, .events = 4}, most) == time_ms{1000});
-  CHECK(patience_with_endpoint(on, {.sends = 3, .events = 4}, most) == most);
+  CHECK(stall_timeout(on, {.sends = 1}, most) == time_ms{1200});
+  CHECK(stall_timeout(on, {.sends = 1, .events = 4}, most) == time_ms{1000});
+  CHECK(stall_timeout(on, {.sends = 3, .events = 4}, most) == most);
 }
 
 TEST_CASE("the last answer says whether the request may have run") {
--- a/tests/relay/stop_gaps_test.cpp
+++ b/tests/relay/stop_gaps_test.cpp
@@ -130,9 +130,9 @@
   const std::string text = request_text("/unsafe/", "id-1", "", "POST", "body");
   half_header.send(text.substr(0, 30));
   half_body.send(text.substr(0, text.size() - 2));
-  for (int i = 0; i < 200 && at.door().busy() < 2; ++i)
+  for (int i = 0; i < 200 && at.frontend().busy() < 2; ++i)
     sleep_for(time_ms{5});
-  REQUIRE(at.door().busy() == 2);
+  REQUIRE(at.frontend().busy() == 2);
   at.relay().stop().begin();
   at.relay().stop().cut();
   CHECK(status_of(half_header.read_all(time_ms{1000})) == 503);
