--- a/src/relay/impl/admitted_request.cpp
+++ b/src/relay/impl/admitted_request.cpp
@@ -16,7 +16,7 @@
   const route* found = config.find_route(*host, head.path());
   if (found == nullptr)
     throw error{error_kind::unknown_path, *host,
-                "no route matches in version " + std::to_string(config.version)};
+                "no route matches in configuration version " + std::to_string(config.version)};
   return *found;
 }
 
@@ -24,7 +24,7 @@
   const team_terms* found = config.find_team(key);
   if (found == nullptr)
     throw error{error_kind::unauthenticated, "key",
-                "nobody holds it in version " + std::to_string(config.version)};
+                "no team has this key in configuration version " + std::to_string(config.version)};
   return *found;
 }
 
@@ -34,7 +34,8 @@
   const service_traits* found = request.config->find_service(request.service);
   if (found == nullptr)
     throw error{error_kind::no_capacity, request.service,
-                "is not described in version " + std::to_string(request.config->version)};
+                "is not described in configuration version " +
+                    std::to_string(request.config->version)};
   return *found;
 }
 
@@ -62,7 +63,7 @@
   into.terms = dialect.read_request(head.fields);
   into.config = std::move(in_force);
   if (!into.config)
-    throw error{error_kind::not_ready, "configuration", "none is known yet"};
+    throw error{error_kind::not_ready, "configuration", "has not been received yet"};
   into.on_route = &route_of(head, *into.config);
   if (into.config->keys_required && !into.on_route->open_to_all)
     into.team = &team_of(into.terms.bearer, *into.config);
--- a/src/relay/impl/http_frontend.cpp
+++ b/src/relay/impl/http_frontend.cpp
@@ -200,9 +200,10 @@
     const io_status status =
         link.read_head(text, limits.header_bytes, received + limits.header_timeout, &until_cut);
     if (status == io_status::interrupted)
-      throw error{error_kind::stopping, "header", "had not come when the host's grace was over"};
+      throw error{error_kind::stopping, "header",
+                  "was incomplete when the host's grace period ended"};
     if (status == io_status::timed_out)
-      throw error{error_kind::slow_caller, "header", "did not come in time"};
+      throw error{error_kind::slow_caller, "header", "did not arrive in time"};
     if (status != io_status::ok && link.buffered().size() > limits.header_bytes)
       throw error{error_kind::payload_too_large, "header", "is larger than allowed"};
     if (status != io_status::ok)
@@ -230,7 +231,7 @@
     throw error{error_kind::payload_too_large, "body", "is larger than allowed"};
   if (framing.body != body_framing::none && request.head.fields.has("Expect") &&
       link.write_all("HTTP/1.1 100 Continue\r\n\r\n", until, &until_cut) != io_status::ok)
-    throw error{error_kind::slow_caller, "body", "the caller does not read"};
+    throw error{error_kind::slow_caller, "body", "the caller does not read the interim response"};
   connection_source source{link, [until] { return until; }, &until_cut};
   body_decoder body{source, framing};
   std::array<char, read_block> block; // NOLINT(cppcoreguidelines-pro-type-member-init)
@@ -240,11 +241,11 @@
       throw error{error_kind::payload_too_large, "body", "is larger than allowed"};
   }
   if (body.state() == body_state::slow && source.last() == io_status::interrupted)
-    throw error{error_kind::stopping, "body", "had not come when the host's grace was over"};
+    throw error{error_kind::stopping, "body", "was incomplete when the host's grace period ended"};
   if (body.state() == body_state::slow)
-    throw error{error_kind::slow_caller, "body", "did not come in time"};
+    throw error{error_kind::slow_caller, "body", "did not arrive in time"};
   if (body.state() != body_state::whole)
-    throw error{error_kind::malformed_request, "body", "is not whole"};
+    throw error{error_kind::malformed_request, "body", "is incomplete"};
 }
 
 } // namespace sedgechute
--- a/src/relay/impl/peer_channel.cpp
+++ b/src/relay/impl/peer_channel.cpp
@@ -137,7 +137,7 @@
                          ? handlers_.end()
                          : handlers_.find(static_cast<peer_message>(bytes.front()));
   if (taker == handlers_.end() || !taker->second(bytes.substr(head_bytes))) {
-    faults_.note(entry_topic::datagrams, from.toString(), "means nothing");
+    faults_.note(entry_topic::datagrams, from.toString(), "is not a valid message");
     return;
   }
   faults_.clear(entry_topic::datagrams, from.toString());
--- a/src/relay/impl/request_accounting.cpp
+++ b/src/relay/impl/request_accounting.cpp
@@ -38,10 +38,10 @@
     return bound;
   case reserve_outcome::exhausted:
     throw error{error_kind::budget_exhausted, team->name.str(),
-                "what is left does not cover " + std::to_string(bound) + " tokens"};
+                "the remaining budget does not cover " + std::to_string(bound) + " tokens"};
   case reserve_outcome::short_here:
     throw error{error_kind::budget_unreachable, team->name.str(),
-                "this host holds too few tokens now",
+                "this host holds too few tokens at present",
                 soonest_retry(budgets.covered_in(demand.team, bound), retry_after)};
   }
   return 0;
--- a/src/relay/impl/request_relay.cpp
+++ b/src/relay/impl/request_relay.cpp
@@ -42,12 +42,12 @@
 
 error request_relay::too_many_open() const {
   return {error_kind::no_capacity, "host",
-          std::to_string(options_.max_open) + " requests are open here",
+          std::to_string(options_.max_open) + " requests are already open on this host",
           options_.overload_retry_after};
 }
 
 error request_relay::processor_used_up(time_ms retry_after) {
-  return {error_kind::no_capacity, "host", "its processor is used up", retry_after};
+  return {error_kind::no_capacity, "host", "the processor is overloaded", retry_after};
 }
 
 double request_relay::draw() {
--- a/src/relay/impl/request_run.cpp
+++ b/src/relay/impl/request_run.cpp
@@ -53,7 +53,7 @@
   const run_forecast run = relay_.forecast(admitted_.on_route->name, admitted_.deadline - now());
   if (!relay_.stop_.may_take(run))
     throw error{error_kind::stopping, "host",
-                "too little of its grace is left for a run of up to " +
+                "the rest of the grace period is too short for a request of up to " +
                     std::to_string(run.surely.count()) + " ms",
                 relay_.options_.stop_retry_after};
 }
--- a/src/relay/impl/send_rules.cpp
+++ b/src/relay/impl/send_rules.cpp
@@ -87,9 +87,10 @@
   if (end == send_outcome::own_error)
     return {final_answer::endpoints_error, "endpoint_error", std::nullopt};
   if (end == send_outcome::host_stopped && !so_far.may_have_run)
-    return refused(error_kind::stopping, "host", "its grace is over");
+    return refused(error_kind::stopping, "host", "the grace period is over");
   if (end == send_outcome::host_stopped)
-    return refused(error_kind::outcome_unknown, "host", "it stops, and the request may have run");
+    return refused(error_kind::outcome_unknown, "host",
+                   "is stopping, and the request may have run");
   const bool late = end == send_outcome::timed_out;
   if (so_far.may_have_run)
     return refused(late ? error_kind::outcome_unknown : error_kind::endpoint_failed, service,
