--- a/src/relay/impl/request_accounting.hpp
+++ b/src/relay/impl/request_accounting.hpp
@@ -16,7 +16,7 @@
 /// \param retry_after  for the refusal when other hosts hold the tokens
 /// \returns the reserved tokens; 0 for a request that needs none
 /// \throws error `budget_exhausted` or `budget_unreachable`
-[[nodiscard]] std::uint64_t reserve_tokens(budget_desk& budgets, const admitted_request& request,
+[[nodiscard]] std::uint64_t reserve_tokens(budget_manager& budgets, const admitted_request& request,
                                            time_ms retry_after);
 
 /// \returns the tokens that a request has used of its reservation: the whole prompt once it may
