--- a/src/relay/impl/request_accounts.cpp
+++ b/src/relay/impl/request_accounting.cpp
@@ -1,4 +1,4 @@
-#include "relay/impl/request_accounts.hpp"
+#include "relay/impl/request_accounting.hpp"
 
 #include <algorithm>
 #include <optional>
@@ -8,17 +8,17 @@
 namespace {
 
 // A caller that retries sooner may find the budget unchanged.
-constexpr time_ms least_retry_after{50};
+constexpr time_ms min_retry_after{50};
 
 // The earlier of two times: when this host expects to hold the tokens, and when a retry may reach
 // another host that holds them.
 time_ms soonest_retry(std::optional<time_ms> covered_here, time_ms elsewhere) noexcept {
-  return std::max(std::min(covered_here.value_or(elsewhere), elsewhere), least_retry_after);
+  return std::max(std::min(covered_here.value_or(elsewhere), elsewhere), min_retry_after);
 }
 
 double seconds(time_ms span) noexcept {
-  constexpr double ms_a_second = 1000;
-  return static_cast<double>(span.count()) / ms_a_second;
+  constexpr double ms_per_second = 1000;
+  return static_cast<double>(span.count()) / ms_per_second;
 }
 
 } // namespace
@@ -39,10 +39,10 @@
     return bound;
   case reserve_outcome::exhausted:
     throw error{error_kind::budget_exhausted, team->name.str(),
-                "what is left does not cover " + std::to_string(bound) + " tokens"};
+                "the remaining budget does not cover " + std::to_string(bound) + " tokens"};
   case reserve_outcome::short_here:
     throw error{error_kind::budget_unreachable, team->name.str(),
-                "this host holds too few tokens now",
+                "this host holds too few tokens at present",
                 soonest_retry(budgets.covered_after(demand.team, bound), retry_after)};
   }
   return 0;
--- a/tests/relay/restarted_endpoint_test.cpp
+++ b/tests/relay/restarted_endpoint_test.cpp
@@ -26,13 +26,13 @@
 }
 
 /// An endpoint's reply to a status request.
-scripted_reply says_start(const std::string& body) {
+scripted_reply status_reply(const std::string& body) {
   return {"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
               std::to_string(body.size()) + "\r\n\r\n" + body,
           then::close, ""};
 }
 
-std::string self_report(time_ms started) {
+std::string status_json(time_ms started) {
   return R"({"Phase":"unified","Busy":false,"born":)" + std::to_string(started.count()) + "}";
 }
 
@@ -50,8 +50,8 @@
 }
 
 /// The first incarnation resets its connection, as in a crash; the second is listed at once.
-struct crashing {
-  explicit crashing(scripted_endpoint::script later)
+struct crashing_endpoint {
+  explicit crashing_endpoint(scripted_endpoint::script later)
       : second{std::move(later)}, first{[this](const auto&) {
           at.add_endpoint("e", second.address(), second_start);
           return scripted_reply{"", then::reset, ""};
@@ -68,9 +68,10 @@
 
 // A replica crashed with a request and restarted at once. The request may have run: sent to the new
 // incarnation it could run twice, and reported as not run it would be sent again by the caller.
-TEST_CASE("what may have run in an earlier life is neither run again nor refused as not run") {
+TEST_CASE("a request that may have run in an earlier incarnation is neither repeated nor reported "
+          "as not run") {
   for (const auto& later : {whole, full}) {
-    crashing it{later};
+    crashing_endpoint it{later};
     const int status = status_of(call(it.at, "/unsafe/", "id-1", "POST", "order"));
     CHECK(status == 502);
     CHECK(it.first.seen().size() == 1);
@@ -78,29 +79,30 @@
   }
 }
 
-TEST_CASE("a stream that may run once stays cut when its endpoint is back") {
-  crashing it{whole};
+TEST_CASE("a stream that may run once is not repeated after a restart of its endpoint") {
+  crashing_endpoint it{whole};
   CHECK(status_of(call(it.at, "/once/", "id-1", "POST", "p")) == 502);
   CHECK(it.second.seen().empty());
 }
 
 // The only endpoint crashed with a request that may be repeated. Its next incarnation was excluded
 // as the endpoint that had failed, and the caller got an error although the endpoint was there.
-TEST_CASE("a request that may run again goes to the next life of its endpoint") {
-  crashing it{whole};
+TEST_CASE("a request that may run again is sent to the next incarnation of its endpoint") {
+  crashing_endpoint it{whole};
   CHECK(status_of(call(it.at, "/safe/", "id-1")) == 200);
   CHECK(it.second.seen().size() == 1);
 }
 
 // The new incarnation is full and replies that it did not run the request. The earlier one may
 // have.
-TEST_CASE("a new life's word that it did not run a request says nothing of the earlier life") {
-  crashing it{full};
+TEST_CASE(
+    "a new incarnation's reply that it did not run a request does not cover the earlier one") {
+  crashing_endpoint it{full};
   CHECK(status_of(call(it.at, "/safe/", "id-1")) == 502);
   CHECK(it.second.seen().size() == 1);
 }
 
-TEST_CASE("a stream goes on at the next life of its endpoint, behind the last event") {
+TEST_CASE("a stream is resumed at the next incarnation of its endpoint after the last event") {
   scripted_endpoint second{[](const auto& request) {
     return scripted_reply{stream_head(attempt_of(request)) + event_chunk(3) + "0\r\n\r\n",
                           then::keep, ""};
@@ -121,7 +123,7 @@
 
 // A machine lost power behind a network partition, so an idle connection to it still looks open. A
 // request written to it would get no answer and could not be sent again.
-TEST_CASE("connections to an earlier life are not used") {
+TEST_CASE("connections to an earlier incarnation are not used") {
   scripted_endpoint first{whole};
   scripted_endpoint second{whole};
   relay_fixture at;
@@ -133,7 +135,7 @@
   CHECK(second.seen().size() == 1);
 }
 
-TEST_CASE("a connection that comes back late from an earlier life is closed") {
+TEST_CASE("a connection returned late from an earlier incarnation is closed") {
   steady_clock time;
   scripted_endpoint endpoint{whole};
   connection_pool pool{time};
@@ -152,7 +154,7 @@
 
 // Endpoints were replaced repeatedly. A host kept up to sixteen connections to each removed one,
 // until it had no descriptors left for its callers.
-TEST_CASE("connections to endpoints that are gone are closed") {
+TEST_CASE("connections to removed endpoints are closed") {
   manual_clock time;
   const steady_clock real;
   scripted_endpoint endpoint{whole};
@@ -170,7 +172,7 @@
 
 // The store is unreachable when a replica restarts, so the list shows no change. The refused
 // connection makes the host query the replica, whose reply shows the restart.
-TEST_CASE("a replica that refused a connection is asked for its start once it is back") {
+TEST_CASE("a replica that refused a connection is queried for its start time when it is back") {
   relay_fixture at;
   structured_log log{{.host = "ask-test", .file = "/dev/null"}};
   const header_dialect dialect;
@@ -193,7 +195,7 @@
   prober.start();
   const scripted_endpoint second{[](const auto& request) {
                                    return request.head.target == "/report"
-                                              ? says_start(self_report(second_start))
+                                              ? status_reply(status_json(second_start))
                                               : whole(request);
                                  },
                                  address};
@@ -212,19 +214,19 @@
   CHECK(status_of(call(at, "/safe/", "id-3")) == 200);
 }
 
-TEST_CASE("only a whole answer that names a start tells one") {
+TEST_CASE("only a complete reply with a valid start time is used") {
   const steady_clock time;
   const header_dialect dialect;
   const auto ask = [&](const scripted_reply& reply) {
     const scripted_endpoint endpoint{[&](const auto&) { return reply; }};
     const auto link = connect_to(endpoint.address(), time_ms{500}, time).link;
-    return ask_start(*link, endpoint_id{"e"}, dialect, time.now() + time_ms{200});
+    return query_start_time(*link, endpoint_id{"e"}, dialect, time.now() + time_ms{200});
   };
-  CHECK(ask(says_start(self_report(first_start))) == first_start);
-  CHECK_FALSE(ask(says_start("{}")));
-  CHECK_FALSE(ask(says_start(R"({"born":"1790000000000"})")));
-  CHECK_FALSE(ask(says_start(R"({"born":1790000000000.5})")));
-  CHECK_FALSE(ask(says_start("not JSON")));
+  CHECK(ask(status_reply(status_json(first_start))) == first_start);
+  CHECK_FALSE(ask(status_reply("{}")));
+  CHECK_FALSE(ask(status_reply(R"({"born":"1790000000000"})")));
+  CHECK_FALSE(ask(status_reply(R"({"born":1790000000000.5})")));
+  CHECK_FALSE(ask(status_reply("not JSON")));
   CHECK_FALSE(ask({"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", then::close, ""}));
   CHECK_FALSE(ask({"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{", then::close, ""}));
   CHECK_FALSE(ask({"garbage\r\n\r\n", then::close, ""}));
