--- a/src/ledger/impl/budget_description.hpp
+++ b/src/ledger/impl/budget_description.hpp
@@ -8,10 +8,10 @@
 namespace sedgechute::ledger {
 
 enum class write_off_reason {
-  holder_lost, ///< opened by a holder that its witness has sealed
+  holder_lost, ///< opened by a holder whose epoch its witness has sealed
   both_lost,   ///< delegated to a holder that was lost together with its witness
   entry_lost,  ///< reserved for requests whose entry host died
-  in_transfer, ///< sent to another holder that has not reported it, and may have died
+  in_transfer, ///< sent to another holder that has not reported it and may have died
 };
 
 /// \brief One slice of a budget.
@@ -25,6 +25,7 @@
   token_count outstanding{}; ///< delegated and not reported as spent
 };
 
+/// \brief Written-off tokens of one epoch.
 struct write_off_description {
   epoch_number epoch{}; ///< 0 for tokens of epochs that are over
   incarnation holder;
@@ -32,11 +33,11 @@
   token_count tokens{};
 };
 
-/// \brief What an operator is told about one budget. `spent` is as of the last reports, and
-/// `reserved` counts only what this host holds.
+/// \brief State of one budget for operators. `spent` is as of the last reports, and
+/// `reserved_here` counts only reservations of this host.
 struct budget_description {
   team_id team;
-  log_offset offset{}; ///< up to which the log was read
+  log_offset offset{}; ///< offset up to which the log was read
   token_count contract{};
   token_count bought{}; ///< more than `contract` while a reduced contract is still committed
   token_count pool{};
@@ -46,7 +47,7 @@
   token_count reserved_here{};
   std::vector<slice_description> slices;
   std::vector<write_off_description> write_offs;
-  std::optional<time_ms> exhausted_in; ///< at the rate of late; none without recent spending
+  std::optional<time_ms> exhausted_in; ///< forecast at the recent rate; none without spending
 };
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/budget_host.hpp
+++ b/src/ledger/impl/budget_host.hpp
@@ -11,8 +11,8 @@
 
 namespace sedgechute::ledger {
 
-/// \brief One host's part in all budgets: entry, holder and witness. Not thread-safe; the daemon
-/// calls it under one lock and sends what `take_output` returns.
+/// \brief The entry, holder and witness roles of one host for all budgets. Not thread-safe; the
+/// daemon calls it under one lock and sends the messages and records of `take_output`.
 ///
 /// ```cpp
 /// auto decision = budgets.reserve(now, {team, key, bound, std::nullopt});
@@ -28,60 +28,62 @@
   budget_host& operator=(const budget_host&) = delete;
   ~budget_host() = default;
 
-  /// \brief A contract came into force, in the order of the stream; `bought` is 0 once cancelled.
+  /// \brief A contract was read from the log; `bought` is 0 once it is cancelled.
   void on_contract(time_ms now, log_offset offset, const team_id& team, token_count bought);
   /// \brief A ledger record was read; offsets ascend.
   void on_record(time_ms now, log_offset offset, const ledger_record& record);
-  /// \brief A message arrived. One that was addressed to another incarnation is dropped.
+  /// \brief A message arrived. It is dropped if `to` is another incarnation.
   void on_message(time_ms now, const incarnation& from, const incarnation& to,
                   const ledger_message& message);
-  /// \brief The live hosts, this one among them.
+  /// \brief Replaces the list of live hosts, which includes this one.
   void on_members(time_ms now, std::span<const live_host> hosts);
-  /// \brief To be called about every 50 ms.
+  /// \brief Resends, reports and expires. Call about every 50 ms.
   void tick(time_ms now);
 
-  /// \returns a decision, or `pending` with the ticket of one that follows.
+  /// \brief Reserves tokens for an attempt.
+  /// \returns the decision; if it is `pending`, the final one follows under the same ticket
   [[nodiscard]] budget_decision reserve(time_ms now, const budget_request& request);
   /// \brief Lowers the bound of a granted reservation.
   void shrink(time_ms now, ticket_number ticket, token_count bound);
-  /// \brief Ends a granted reservation and bills `used`, at most its bound, or its bound if no
-  /// usage is known.
+  /// \brief Ends a granted reservation and bills `used`, at most the bound, or the whole bound if
+  /// no usage is known.
   void settle(time_ms now, ticket_number ticket, std::optional<token_count> used);
   /// \brief Ends an attempt that was never dispatched: nothing is billed, and the key may be
   /// reserved again.
   void withdraw(time_ms now, ticket_number ticket);
-  /// \brief Ends a dispatched attempt whose request another attempt, with another reservation,
-  /// will answer: nothing is billed, and the bound is written off because it may have been used.
+  /// \brief Ends a dispatched attempt whose request is answered by an attempt with another
+  /// reservation: nothing is billed, and the bound is written off because it may have been used.
   void disown(time_ms now, ticket_number ticket);
 
-  /// \brief Appends an operator's release of written-off tokens; `basis` is set here.
-  /// \returns the id by which the record can be found in the log
+  /// \brief Appends an operator's release of written-off tokens; sets `basis`.
+  /// \returns the id of the record in the log
   record_id release(time_ms now, sedgechute::ledger::release body);
-  /// \brief The same, of what is written off as far as this host has read.
+  /// \brief The same, with the written-off amount as of the offset that this host has read.
   record_id release(time_ms now, const team_id& team, epoch_number epoch, token_count tokens,
                     release_proof proof, std::string statement);
 
   [[nodiscard]] budget_output take_output();
 
-  /// \brief Takes no new reservations as a holder, returns what is free and closes all slices.
+  /// \brief Accepts no new reservations as a holder, returns free tokens and closes all slices.
   void drain(time_ms now);
-  /// \returns whether nothing is held, reserved or unsettled here any more.
+  /// \returns whether this host is drained: no slice, reservation or unsettled attempt is left.
   [[nodiscard]] bool drained() const noexcept;
 
+  /// \returns the state of the team's budget, or nothing for an unknown team.
   [[nodiscard]] std::optional<budget_description> describe(time_ms now, const team_id& team) const;
 
   [[nodiscard]] ledger_snapshot snapshot() const { return context_.state.snapshot(); }
-  /// \brief Starts, or starts again after a gap in the stream, from a checkpoint.
+  /// \brief Starts from a checkpoint, also again after a gap in the log.
   /// \throws error of kind `invalid_document` if the checkpoint contradicts itself
   void restore(time_ms now, const ledger_snapshot& snapshot);
 
-  /// \brief The state in parts, as `ledger_state` gives and takes them.
+  /// \brief Reads and restores the state in parts, as in `ledger_state`.
   [[nodiscard]] cut_number open_cut() { return context_.state.open_cut(); }
   [[nodiscard]] std::optional<ledger_snapshot> next_part(cut_number cut, std::size_t most_teams) {
     return context_.state.next_part(cut, most_teams);
   }
   void close_cut(cut_number cut) { context_.state.close_cut(cut); }
-  /// \brief Messages and ticks may come between the parts, records may not.
+  /// \brief Starts a restore in parts. Messages and ticks may come between the parts, records not.
   void begin_restore() { context_.state.begin_restore(); }
   void restore_part(time_ms now, const ledger_snapshot& part);
   void finish_restore(time_ms now);
--- a/src/ledger/impl/delegation.hpp
+++ b/src/ledger/impl/delegation.hpp
@@ -9,12 +9,12 @@
 
 enum class delegation_state : std::uint8_t {
   live,
-  reclaimed, ///< its witness sealed it; what was opened and not reported is written off
-  abandoned, ///< holder and witness were lost; all that was not reported is written off
-  closed,    ///< its holder ended it; what remains is in transfers that no receiver has reported
+  reclaimed, ///< sealed by its witness; tokens opened and not reported are written off
+  abandoned, ///< holder and witness were lost; all tokens not reported are written off
+  closed,    ///< ended by its holder; the remainder is in transfers that no receiver has reported
 };
 
-/// \brief One epoch as the log shows it.
+/// \brief One epoch as recorded in the log.
 struct delegation {
   epoch_number epoch{};
   name_index team{no_name};
@@ -26,24 +26,24 @@
   witness_term term{};
   std::uint32_t version{}; ///< of the newest report applied
   token_count granted{};
-  token_count opened{}; ///< least that the witness of this term has to count as countersigned
+  token_count opened{}; ///< lower bound of the countersigned tokens, for this term's witness
   token_count received{};
   token_count spent{};
-  token_count returned{}; ///< given back by its holder, or released by an operator
+  token_count returned{}; ///< returned by its holder or released by an operator
   token_count lost{};
-  token_count sent{};         ///< as reported by the sender, which counts only in its closing
-  token_count moved{};        ///< of `sent`, reported by receivers
-  token_count gone{};         ///< returned by reclaim or close
+  token_count sent{};         ///< as reported by the sender; used only in its closing report
+  token_count moved{};        ///< part of `sent` that receivers have reported
+  token_count gone{};         ///< returned to the pool by a reclaim or the closing report
   std::uint32_t moved_upto{}; ///< every transfer up to this sequence number has been reported
-  std::vector<std::uint32_t> moved_after; ///< those reported above `moved_upto`, sorted
+  std::vector<std::uint32_t> moved_after; ///< reported transfers above `moved_upto`, sorted
   epoch_number next_of_team{};
 
-  /// \returns tokens that are neither spent nor given back nor moved elsewhere.
+  /// \returns the tokens that are neither spent nor returned nor moved to other epochs.
   [[nodiscard]] token_count remainder() const noexcept {
     return granted + received - spent - returned - moved - gone;
   }
   [[nodiscard]] token_count written_off() const noexcept {
-    // What a receiver reports to have moved was not lost, whatever the sender has reported yet.
+    // A transfer that its receiver reports was not lost, even if the sender's last report says so.
     return state == delegation_state::live ? std::min(lost, remainder()) : remainder();
   }
   [[nodiscard]] token_count outstanding() const noexcept { return remainder() - written_off(); }
@@ -55,13 +55,14 @@
 
 /// \brief Sums of one team.
 struct team_totals {
-  token_count contract{}; ///< bought, as the contract says
+  token_count contract{}; ///< tokens bought by the current contract
   token_count spent{};
-  token_count outstanding{}; ///< delegated and not known to be spent
+  token_count outstanding{}; ///< delegated and not reported as spent
   token_count written_off{};
 
   [[nodiscard]] token_count committed() const noexcept { return spent + outstanding + written_off; }
-  /// \returns bought tokens; a reduced contract never takes back what is committed.
+  /// \returns the bought tokens, at least `committed()`: a reduced contract takes no committed
+  /// tokens back.
   [[nodiscard]] token_count bought() const noexcept {
     return contract > committed() ? contract : committed();
   }
--- a/src/ledger/impl/entry_role.hpp
+++ b/src/ledger/impl/entry_role.hpp
@@ -9,13 +9,13 @@
 
 namespace sedgechute::ledger {
 
-/// \brief Finds a holder for each attempt of this entry host and settles with it.
+/// \brief Reserves tokens with a holder for each attempt of this entry host, and settles them.
 class entry_role {
  public:
   entry_role(host_context& context, holder_role& holder) noexcept
       : context_{context}, holder_{holder} {}
 
-  /// \returns the decision, which may be `pending`; then one follows in `budget_output`.
+  /// \returns the decision; if it is `pending`, the final one follows in `budget_output`.
   budget_decision reserve(time_ms now, const budget_request& request);
   void shrink(time_ms now, ticket_number ticket, token_count bound);
   void settle(time_ms now, ticket_number ticket, std::optional<token_count> used);
@@ -35,13 +35,13 @@
 
   struct attempt {
     attempt_phase phase{attempt_phase::asking};
-    ticket_number holder_ticket{}; ///< what the holder knows this attempt by
+    ticket_number holder_ticket{}; ///< identifies this attempt at the holder
     name_index team{no_name};
     request_id key;
     token_count bound{};
     name_index holder{no_name};
     name_index prior_holder{no_name};
-    name_index excluded{no_name}; ///< said that it holds nothing
+    name_index excluded{no_name}; ///< holder that replied `elsewhere`
     epoch_number epoch{};
     time_ms deadline;
     time_ms sent;
@@ -62,12 +62,14 @@
                    token_count tokens);
   void deliver_local_replies(time_ms now);
   void finish(time_ms now, ticket_number ticket, settle_kind kind, token_count tokens);
+  /// \returns whether settling is given up because the holder is lost; else resends when due.
   [[nodiscard]] bool give_up_or_resend(time_ms now, attempt& a);
 
   host_context& context_;
   holder_role& holder_;
   absl::flat_hash_map<ticket_number, attempt> attempts_;
-  absl::btree_set<ticket_number> unfinished_; ///< asking or settling; ordered for replay
+  absl::btree_set<ticket_number>
+      unfinished_; ///< asking or settling; ordered so that runs are reproducible
   ticket_number last_ticket_{0};
 };
 
--- a/src/ledger/impl/holder_role.hpp
+++ b/src/ledger/impl/holder_role.hpp
@@ -11,16 +11,17 @@
 
 namespace sedgechute::ledger {
 
-/// \brief Holds slices of budgets: reserves and bills from them, opens them chunk by chunk with the
+/// \brief Holds slices of budgets: reserves and bills tokens, opens slices chunk by chunk with the
 /// witness, enlarges them by grants, exchanges tokens with other holders and reports to the log.
 class holder_role {
  public:
   explicit holder_role(host_context& context) noexcept : context_{context} {}
 
-  /// \brief Reserves for an attempt; the answer goes out by `host_context::reply`, now or later.
+  /// \brief Reserves tokens for an attempt; answers by `host_context::reply`, now or later.
   void reserve(time_ms now, name_index team, const attempt_id& attempt,
                const reserve_request& request);
-  /// \brief Settles, shrinks or withdraws. Late and repeated calls change nothing.
+  /// \brief Settles, shrinks, withdraws or disowns a reservation. Late and repeated calls have no
+  /// effect.
   void settle(time_ms now, name_index team, const attempt_id& attempt,
               const settle_request& request);
 
@@ -33,13 +34,15 @@
   void on_message(time_ms now, name_index from, const token_refusal& message);
   void on_message(time_ms now, name_index from, const hold_budget& message);
 
-  /// \brief A grant or replacement of ours was read back; to be followed by `sync`.
+  /// \brief A grant or witness replacement of this host was read back. The caller calls `sync`
+  /// next.
   void on_append_confirmed(const record_id& id);
-  /// \brief Follows what the log says of this host's epochs.
+  /// \brief Updates this host's slices of the team from the replayed state.
   void sync(time_ms now, name_index team);
   void tick(time_ms now);
 
-  /// \brief Takes nothing new, returns what is free and closes each slice once it is settled.
+  /// \brief Accepts no new reservations, returns free tokens and closes each slice once its
+  /// reservations are settled.
   void drain(time_ms now);
   [[nodiscard]] bool drained() const noexcept { return draining_ && accounts_.empty(); }
 
@@ -75,7 +78,7 @@
   void check_reservation(time_ms now, const reservation_key& key, reservation& r);
   void write_off(time_ms now, const reservation_key& key, reservation& r);
 
-  // holder_supply.cpp: where tokens come from
+  // holder_supply.cpp: chunks, grants and verdicts on waiting attempts
   void advance(time_ms now, account& a);
   void serve_waiting(time_ms now, account& a);
   void open_next_chunk(time_ms now, account& a);
@@ -94,7 +97,7 @@
   [[nodiscard]] token_count unopened(const slice& s) const;
   [[nodiscard]] bool must_return_tokens(const account& a) const;
 
-  // holder_transfer.cpp: tokens between holders
+  // holder_transfer.cpp: transfers between holders
   void serve_token_requests(time_ms now, account& a);
   void prune_credited_transfers();
   void record_peer_spend(account& a, const token_refusal& message);
@@ -106,7 +109,7 @@
   void request_from_peers(time_ms now, account& a);
   [[nodiscard]] token_count shortage(account& a) const;
 
-  // holder_report.cpp: the log
+  // holder_report.cpp: updates from the log and reports to it
   void apply_delegation(time_ms now, account& a, const delegation& d);
   void retire_slices(account& a);
   void return_free_tokens(time_ms now, account& a);
@@ -122,10 +125,11 @@
   void update_rates(time_ms now, account& a) const;
 
   host_context& context_;
-  absl::btree_map<name_index, std::unique_ptr<account>> accounts_; ///< ordered, for replay
+  absl::btree_map<name_index, std::unique_ptr<account>>
+      accounts_; ///< ordered so that runs are reproducible
   reservation_table reservations_;
   absl::flat_hash_set<std::pair<epoch_number, std::uint32_t>> credited_transfers_;
-  // By entry host: the newest ticket whose reservation was settled and is no longer remembered.
+  // By entry host: the highest ticket whose settled reservation was forgotten.
   absl::btree_map<name_index, ticket_number> forgotten_upto_;
   bool draining_{false};
   time_ms next_report_;
--- a/src/ledger/impl/host_context.cpp
+++ b/src/ledger/impl/host_context.cpp
@@ -48,8 +48,8 @@
   static_cast<void>(confirm_append(id));
 }
 
-// An append's answer may be lost after it took effect, so only reading the record back ends the
-// repeats; replay drops the copies.
+// An append may take effect although its answer is lost, so a record is repeated until it is read
+// back; replay drops the copies.
 void host_context::resend_appends(time_ms now) {
   for (unconfirmed_append& u : unconfirmed_) {
     if (now - u.sent < options_.append_resend)
--- a/src/ledger/impl/host_context.hpp
+++ b/src/ledger/impl/host_context.hpp
@@ -8,7 +8,7 @@
 
 namespace sedgechute::ledger {
 
-/// \brief One attempt of a request, as its holder knows it.
+/// \brief Identifies an attempt of a request at its holder.
 struct attempt_id {
   name_index entry{no_name};
   ticket_number ticket{};
@@ -16,7 +16,7 @@
   bool operator==(const attempt_id&) const = default;
 };
 
-/// \brief What the three roles of one host share.
+/// \brief State shared by the entry, holder and witness roles of one host.
 class host_context {
  public:
   host_context(incarnation self, const data_centre_id& data_centre, const ledger_options& options,
@@ -29,15 +29,17 @@
   [[nodiscard]] name_index data_centre() const noexcept { return data_centre_; }
 
   void send(name_index to, ledger_message body);
-  /// \brief Answers an attempt: by message, or directly when it was made on this host.
+  /// \brief Answers an attempt: by message, or through `local_replies` if it was made on this host.
   void reply(const attempt_id& attempt, reserve_reply answer);
 
-  /// \brief Appends, and repeats until the record is read back.
+  /// \brief Appends a record, and repeats it until it is read back from the log.
   record_id append(time_ms now, record_body body);
-  /// \brief Appends once: for records that a newer one will supersede.
+  /// \brief Appends a record once, for records that a newer one supersedes.
   record_id append_once(record_body body);
-  /// \returns whether the record is one of ours that had not been read back.
+  /// \brief Stops repeating a record that was read back from the log.
+  /// \returns whether this host was repeating it
   bool confirm_append(const record_id& id);
+  /// \brief Stops repeating a record that can no longer be applied.
   void cancel_append(const record_id& id);
   void resend_appends(time_ms now);
   [[nodiscard]] std::size_t unconfirmed_appends() const noexcept { return unconfirmed_.size(); }
--- a/src/ledger/impl/ledger_snapshot.hpp
+++ b/src/ledger/impl/ledger_snapshot.hpp
@@ -7,8 +7,8 @@
 
 namespace sedgechute::ledger {
 
-/// \brief The whole state after the record at `offset`, for a checkpoint. Names are given once and
-/// referred to by their position.
+/// \brief The state after the record at `offset`, or a part of it, for a checkpoint. Each name is
+/// stored once and referred to by its position.
 struct ledger_snapshot {
   struct team_row {
     team_id team;
@@ -22,12 +22,12 @@
   };
 
   log_offset offset{};
-  std::uint64_t digest{}; ///< of the state; a restore that does not reach it is refused
+  std::uint64_t digest{}; ///< digest of the state; a restore that does not match it fails
   std::vector<team_row> teams;
   std::vector<incarnation> hosts;
   std::vector<data_centre_id> data_centres;
   std::vector<delegation> delegations; ///< ascending epochs
-  std::vector<recent_id> recent;       ///< grants within the repeat window, oldest first
+  std::vector<recent_id> recent;       ///< grants and releases within the repeat window, by age
 };
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/ledger_state.hpp
+++ b/src/ledger/impl/ledger_state.hpp
@@ -19,24 +19,24 @@
 
 namespace sedgechute::ledger {
 
-/// \brief Deterministic replay of the ledger's records. Every host that has replayed the stream up
-/// to the same offset has the same state, and so the same `digest()`.
+/// \brief Deterministic replay of the ledger's records. Every host that has replayed the log up to
+/// the same offset has the same state, and so the same `digest()`.
 ///
-/// Between any two records and for each team: pool + outstanding + spent + written off = bought,
+/// Invariant for each team after each record: pool + outstanding + spent + written off = bought,
 /// none of them negative.
 class ledger_state {
  public:
   explicit ledger_state(const ledger_options& options);
 
-  /// \brief Sets what the team has bought. 0 for a cancelled contract. What is committed is never
-  /// taken back: a smaller contract is reached as tokens come back to the pool.
+  /// \brief Sets the tokens that the team has bought, 0 for a cancelled contract. Committed tokens
+  /// are never taken back: a smaller contract is reached as tokens return to the pool.
   void on_contract(log_offset offset, const team_id& team, token_count bought);
 
   /// \brief Applies a record; offsets ascend. A record at or below `offset()` is ignored.
-  /// \returns the verdict; for a batch, of its first item that was void, else `applied`
+  /// \returns the verdict; for a batch, that of its first rejected item, else `applied`
   record_verdict on_record(log_offset offset, const ledger_record& record);
 
-  /// \returns teams whose delegations the last record may have changed.
+  /// \returns the teams that the last contract or record may have changed.
   [[nodiscard]] std::span<const name_index> touched() const noexcept { return touched_; }
 
   [[nodiscard]] log_offset offset() const noexcept { return offset_; }
@@ -45,13 +45,13 @@
     return recent_;
   }
   [[nodiscard]] std::size_t team_count() const noexcept { return teams_.size(); }
-  /// \returns tokens of all teams that are written off; reads every team's row.
+  /// \returns the written-off tokens of all teams. Takes time linear in the number of teams.
   [[nodiscard]] token_count written_off() const noexcept;
   [[nodiscard]] std::size_t delegation_count() const noexcept { return delegations_.size(); }
 
   /// \returns the index of a known team, else `no_name`.
   [[nodiscard]] name_index find_team(const team_id& team) const;
-  /// \returns the team's index; a team without contract has bought nothing.
+  /// \returns the team's index; a new team has bought 0 tokens.
   name_index intern_team(const team_id& team);
   [[nodiscard]] team_id team_name(name_index team) const;
   [[nodiscard]] team_totals totals(name_index team) const;
@@ -82,29 +82,31 @@
   name_index intern_data_centre(const data_centre_id& data_centre);
   [[nodiscard]] data_centre_id data_centre(name_index index) const;
 
-  /// \returns a hash of everything that decides how later records are judged.
+  /// \returns a hash of all state that the verdicts on later records depend on.
   [[nodiscard]] std::uint64_t digest() const;
   [[nodiscard]] ledger_snapshot snapshot() const;
   /// \brief Replaces the state.
   /// \throws error of kind `invalid_document` if the snapshot contradicts itself; the state is
-  /// then unchanged only if the caller restores another
+  /// then invalid until another snapshot is restored
   void restore(const ledger_snapshot& snapshot);
 
-  /// \brief Starts to read the present state in parts; records may be applied between them.
+  /// \brief Starts to read the current state in parts; records may be applied between them.
   [[nodiscard]] cut_number open_cut();
-  /// \returns the next part of at most `most_teams` teams, or nothing after the last. The last one
-  /// has the digest of the whole; only the first has the remembered ids.
+  /// \returns the next part of at most `most_teams` teams, or nothing after the last. The last part
+  /// has the digest of the whole state; only the first has the remembered ids.
   [[nodiscard]] std::optional<ledger_snapshot> next_part(cut_number cut, std::size_t most_teams);
   void close_cut(cut_number cut);
 
-  /// \brief Starts to replace the state by the parts of another one. Each part replaces its teams
-  /// at once. Until the end no record may be applied; `offset()` stays what it was.
+  /// \brief Starts to replace the state part by part. Each part replaces its teams at once. Until
+  /// `finish_restore` no record may be applied and `offset()` does not change.
   void begin_restore();
-  /// \returns the teams that the part replaced
+  /// \brief Replaces the teams of one part.
+  /// \returns the teams that were replaced
   /// \throws error of kind `invalid_document` if the part contradicts itself
   std::vector<name_index> restore_part(const ledger_snapshot& part);
-  /// \throws error of kind `invalid_document` if the whole does not have the digest that the last
-  /// part stated
+  /// \brief Removes the teams that no part contained and sets `offset()`.
+  /// \throws error of kind `invalid_document` if the restored state does not have the digest of the
+  /// last part
   void finish_restore();
 
  private:
--- a/src/ledger/impl/messages.hpp
+++ b/src/ledger/impl/messages.hpp
@@ -6,27 +6,27 @@
 
 namespace sedgechute::ledger {
 
-/// \brief Holder to witness: countersign the use of the epoch's tokens up to `upto`.
+/// \brief Holder to witness: countersign the use of the epoch's first `upto` tokens.
 struct open_chunk {
   epoch_number epoch{};
   witness_term term{};
   token_count upto{};
 };
 
-/// \brief Witness to holder: countersigned.
+/// \brief Witness to holder: the first `upto` tokens are countersigned.
 struct chunk_opened {
   epoch_number epoch{};
   witness_term term{};
   token_count upto{};
 };
 
-/// \brief Witness to holder: the epoch is sealed or over; nothing more will be countersigned.
+/// \brief Witness to holder: the epoch is sealed or over; no more tokens will be countersigned.
 struct chunk_refused {
   epoch_number epoch{};
   witness_term term{};
 };
 
-/// \brief Entry host to holder.
+/// \brief Entry host to holder: reserve up to `bound` tokens for an attempt.
 struct reserve_request {
   ticket_number ticket{};
   team_id team;
@@ -40,26 +40,27 @@
   already_settled, ///< the key has been billed; nothing is reserved
   exhausted,
   unreachable,
-  elsewhere, ///< this host holds nothing of the team or is stopping; ask another holder
+  elsewhere, ///< this host holds no tokens of the team or is stopping; ask another holder
 };
 
-/// \brief Holder to entry host.
+/// \brief Holder to entry host: the result of a `reserve_request`.
 struct reserve_reply {
   ticket_number ticket{};
   reserve_verdict verdict{};
-  epoch_number epoch{}; ///< of the reservation, or whose holder to ask if `elsewhere`; 0 for any
+  epoch_number epoch{}; ///< epoch of the reservation; if `elsewhere`, of the holder to ask, 0: any
   token_count bound{};
 };
 
 enum class settle_kind {
   settle,   ///< the attempt ended; `tokens` is its usage
-  no_usage, ///< the attempt ended and no usage is known
+  no_usage, ///< the attempt ended without a known usage
   shrink,   ///< `tokens` is the new upper bound
   withdraw, ///< the attempt was never dispatched
   disown,   ///< the attempt may have used tokens, but an attempt elsewhere is billed
 };
 
-/// \brief Entry host to holder; repeated until answered, except for `shrink`.
+/// \brief Entry host to holder: change or end a reservation. Repeated until answered, except for
+/// `shrink` and `withdraw`.
 struct settle_request {
   ticket_number ticket{};
   team_id team;
@@ -68,19 +69,20 @@
   token_count tokens{};
 };
 
-/// \brief Holder to entry host.
+/// \brief Holder to entry host: acknowledges a `settle_request`.
 struct settle_reply {
   ticket_number ticket{};
 };
 
-/// \brief Holder to entry host: is this attempt still open? Only a `withdraw` is answered.
+/// \brief Holder to entry host: asks whether an attempt is still open. The entry host answers only
+/// if it is not, by a `withdraw`.
 struct reservation_probe {
   ticket_number ticket{};
   team_id team;
   request_id key;
 };
 
-/// \brief Holder to holder: send me tokens.
+/// \brief Holder to holder: send `tokens` to the epoch `to`.
 struct token_request {
   team_id team;
   std::uint32_t round{};
@@ -88,7 +90,8 @@
   token_count tokens{};
 };
 
-/// \brief Holder to holder: debited here, to be credited there; repeated until acknowledged.
+/// \brief Holder to holder: tokens debited from `from`, to be credited to `to`. Repeated until
+/// acknowledged.
 struct token_transfer {
   team_id team;
   epoch_number from{};
@@ -97,26 +100,27 @@
   token_count tokens{};
 };
 
+/// \brief Holder to holder: the transfer was credited.
 struct transfer_ack {
   epoch_number from{};
   std::uint32_t sequence{};
 };
 
-/// \brief Holder to holder: the receiving epoch is over and never credited this transfer.
+/// \brief Holder to holder: the receiving epoch is over and did not credit this transfer.
 struct transfer_declined {
   epoch_number from{};
   std::uint32_t sequence{};
 };
 
-/// \brief Holder to holder: nothing to send.
+/// \brief Holder to holder: there are no tokens to send.
 struct token_refusal {
   team_id team;
   std::uint32_t round{};
-  epoch_number epoch{}; ///< 0 if nothing is held
-  token_count spent{};  ///< of the epoch, reported or not
+  epoch_number epoch{}; ///< epoch of the sender, 0 if it holds none
+  token_count spent{};  ///< tokens spent of that epoch, reported or not
 };
 
-/// \brief Holder to a host of a busy data centre: take a slice of your own.
+/// \brief Holder to a host of a busy data centre: request a slice of the budget.
 struct hold_budget {
   team_id team;
 };
--- a/src/ledger/impl/name_table.cpp
+++ b/src/ledger/impl/name_table.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Blocks grow with the table, so that a test's small table costs little.
+// Block sizes double, so that a test's small table allocates little.
 constexpr std::size_t first_block = 256;
 constexpr std::size_t largest_block = std::size_t{1} << 16U;
 
--- a/src/ledger/impl/name_table.hpp
+++ b/src/ledger/impl/name_table.hpp
@@ -12,8 +12,8 @@
 
 namespace sedgechute::ledger {
 
-/// \brief Interns names: each distinct one is stored once, without a string object of its own, and
-/// has a dense index.
+/// \brief Interns names: each distinct name is stored once, in a shared block, and has a dense
+/// index.
 class name_table {
  public:
   name_table() : lookup_{0, hash_of{this}, same{this}} {}
@@ -36,7 +36,7 @@
     const char* text;
     std::uint32_t length;
   };
-  // The set holds indices only and hashes the names they stand for.
+  // The set stores indices only; they are hashed and compared by their names.
   struct hash_of {
     using is_transparent = void;
     const name_table* table;
--- a/src/ledger/impl/options.hpp
+++ b/src/ledger/impl/options.hpp
@@ -4,32 +4,32 @@
 
 namespace sedgechute::ledger {
 
-/// \brief A deliberate fault in the logic, to show that the checks notice it. Only tests set one.
+/// \brief A fault injected into the logic to show that the checks detect it. Only tests set one.
 enum class mutation {
   none,
   skip_witness,          ///< use tokens that no witness countersigned
   unseal,                ///< a witness countersigns after it has reclaimed
-  trust_append,          ///< use a grant before it is read back
-  reuse_epoch,           ///< a holder goes on with an epoch that its witness has sealed
+  trust_append,          ///< use a grant before it is read back from the log
+  reuse_epoch,           ///< a holder keeps using an epoch that its witness has sealed
   forget_record_ids,     ///< apply a repeated record again
-  ignore_basis,          ///< apply a record whose repeats may be forgotten
+  ignore_basis,          ///< apply a record so old that the ids of its repeats may be forgotten
   ignore_term,           ///< accept a reclaim of a replaced witness
-  forget_early_opening,  ///< a new witness forgets what it signed before it read of its role
+  forget_early_opening,  ///< a new witness drops what it signed before it read its appointment
   open_while_replacing,  ///< use the old witness's answer after a replacement was sent
   forget_transfer_ids,   ///< credit a repeated transfer again
   send_without_debit,    ///< transfer tokens that stay usable at the sender
-  decline_early,         ///< decline a transfer to an epoch that was not read yet
-  forget_settled,        ///< a retry of a billed request is billed again
-  forget_tickets,        ///< a copy of a request that was settled long ago is billed again
-  bill_above_bound,      ///< bill what the engine reported, however much
+  decline_early,         ///< decline a transfer to an epoch whose grant was not read yet
+  forget_settled,        ///< bill a retry of a billed request again
+  forget_tickets,        ///< bill a late copy of a request again after its bill was forgotten
+  bill_above_bound,      ///< bill the engine's usage even above the reserved bound
   return_reserved,       ///< close an epoch that still has open reservations
-  grant_above_pool,      ///< a grant may exceed the pool
-  reclaim_released,      ///< reclaim what an operator has released before
+  grant_above_pool,      ///< let a grant exceed the pool
+  reclaim_released,      ///< reclaim tokens that an operator has already released
   trust_old_incarnation, ///< answer messages addressed to an earlier incarnation
-  cut_without_images,    ///< parts of a checkpoint show what came after its offset
+  cut_without_images,    ///< parts of a checkpoint include changes after its offset
 };
 
-/// \brief Sizes and waits of the ledger. Waits affect liveness only, never correctness.
+/// \brief Sizes and timeouts of the ledger. Timeouts affect liveness only, never correctness.
 struct ledger_options {
   log_offset repeat_window{32768}; ///< offsets within which a repeated grant is recognised
 
@@ -38,21 +38,21 @@
   time_ms append_resend{2000};       ///< between repeats of a record that was not read back
   time_ms report_interval{10000};    ///< between reports of spent tokens
   time_ms idle_close{900000};        ///< a slice unused for this long is returned
-  time_ms probe_after{30000};        ///< age at which an open reservation is asked about
+  time_ms probe_after{30000};        ///< age at which a holder probes an open reservation
   time_ms orphan_wait{120000};       ///< from an entry host's death to writing off its reservations
   time_ms settled_retention{120000}; ///< how long a settled key is remembered
   time_ms settle_give_up{600000};    ///< how long a settle is repeated to a lost holder
   time_ms abandon_wait{60000};       ///< both holder and witness lost for this long
   time_ms suspect_wait{0};           ///< from a holder's death to sealing its epochs
 
-  token_count min_slice{4096};        ///< smallest slice asked for while the pool is large
+  token_count min_slice{4096};        ///< smallest slice requested while the pool is large
   std::int64_t first_slice_share{64}; ///< a first slice is at most pool / this
-  time_ms slice_span{5400000};        ///< demand that a slice should cover: an hour's cut and more
+  time_ms slice_span{5400000};        ///< demand that a slice covers: more than an hour's partition
   time_ms rate_warmup{120000};        ///< until rates of demand are trusted
   time_ms chunk_span{2000};           ///< demand that a chunk should cover
   std::int64_t chunk_share{1024};     ///< an opened chunk is at most bought / this, or one request
-  token_count collect_requests{8};    ///< a budget that covers this many more is held by one host
-  time_ms collect_span{20000};        ///< likewise, one that covers this span of demand
+  token_count collect_requests{8};    ///< one host collects a budget that covers fewer requests
+  time_ms collect_span{20000};        ///< demand added to that threshold, as a span of time
   std::uint32_t busy_requests{2};     ///< requests of a data centre in `busy_span` to make it busy
   time_ms busy_span{600000};
 
--- a/src/ledger/impl/output.hpp
+++ b/src/ledger/impl/output.hpp
@@ -8,13 +8,13 @@
 
 namespace sedgechute::ledger {
 
-/// \brief One attempt of a request that wants tokens.
+/// \brief A reservation requested for one attempt of a request.
 struct budget_request {
   team_id team;
   request_id key; ///< shared by all attempts of one request
   token_count bound{};
-  /// Holder of the key's earlier reservation, if an earlier attempt is known; while it lives only
-  /// it is asked, so that the attempts share one reservation.
+  /// Holder of the key's earlier reservation, if an earlier attempt is known. While it is live no
+  /// other holder is asked, so that the attempts share one reservation.
   std::optional<incarnation> prior_holder;
 };
 
@@ -26,17 +26,17 @@
   unreachable,     ///< error_kind::budget_unreachable
 };
 
-/// \brief How a reservation was decided.
+/// \brief Result of a reservation.
 struct budget_decision {
   ticket_number ticket{};
   budget_outcome outcome{};
-  incarnation holder;   ///< to be passed as `prior_holder` by later attempts
+  incarnation holder;   ///< passed as `prior_holder` by later attempts
   epoch_number epoch{}; ///< fencing number
-  token_count bound{};  ///< what is reserved
+  token_count bound{};  ///< tokens reserved
 };
 
-/// \brief What a holder charged for one request, for the audit log. At most one is made for a
-/// reservation.
+/// \brief Tokens that a holder charged for one request, for the audit log. A reservation has at
+/// most one bill.
 struct bill {
   team_id team;
   request_id key;
@@ -49,8 +49,8 @@
   ledger_message body;
 };
 
-/// \brief What the daemon has to send, append and tell its requests. Messages and appends may be
-/// lost, repeated or reordered freely.
+/// \brief Messages to send, records to append, and decisions and bills for the daemon. Messages and
+/// appends may be lost, repeated or reordered.
 struct budget_output {
   std::vector<outgoing_message> messages;
   std::vector<ledger_record> records;
--- a/src/ledger/impl/records.hpp
+++ b/src/ledger/impl/records.hpp
@@ -8,9 +8,9 @@
 
 namespace sedgechute::ledger {
 
-/// \brief Delegates tokens of the pool to a holder; the offset of a winning one is its epoch.
+/// \brief Delegates tokens of the pool to a holder; the offset of an applied grant is its epoch.
 ///
-/// Takes `tokens` or the whole pool if that is less. Void when the pool is empty, the holder
+/// Takes `tokens` or the whole pool if that is less. Rejected if the pool is empty, the holder
 /// already has a live epoch of the team, `extends` is not live, or `basis` is too old.
 struct grant {
   team_id team;
@@ -23,7 +23,7 @@
   log_offset basis{}; ///< offset up to which the writer had replayed
 };
 
-/// \brief Tokens that the reporting epoch got from `from`.
+/// \brief Tokens that the reporting epoch received from the epoch `from`.
 struct transfer_receipt {
   epoch_number from{};
   std::uint32_t sequence{};
@@ -32,7 +32,7 @@
   bool operator==(const transfer_receipt&) const = default;
 };
 
-/// \brief What a holder has done with one epoch since its start. The highest version counts.
+/// \brief Sums of a holder's use of one epoch since its start. The highest version applies.
 struct epoch_report {
   epoch_number epoch{};
   std::uint32_t version{};
@@ -40,8 +40,8 @@
   token_count returned{};                 ///< opened tokens given back to the pool
   token_count lost{};                     ///< reserved for attempts whose entry host died
   token_count sent{};                     ///< transferred to other epochs
-  bool closing{};                         ///< the holder will use nothing of this epoch again
-  std::vector<transfer_receipt> received; ///< those not yet seen in the log
+  bool closing{};                         ///< the holder uses this epoch no more
+  std::vector<transfer_receipt> received; ///< receipts not yet read back from the log
 };
 
 /// \brief Reports of one host, in one append.
@@ -49,7 +49,7 @@
   std::vector<epoch_report> epochs;
 };
 
-/// \brief A witness that has sealed the epoch returns what it never countersigned.
+/// \brief A witness that has sealed the epoch returns the tokens that it never countersigned.
 struct reclaim {
   epoch_number epoch{};
   witness_term term{};
@@ -66,54 +66,54 @@
   epoch_number epoch{};
 };
 
-/// \brief The holder names another witness; valid only for the term that it saw.
+/// \brief The holder appoints another witness; applied only if `term` is the current term.
 struct replace_witness {
   epoch_number epoch{};
   witness_term term{};
   incarnation witness;
-  token_count opened{}; ///< all that was countersigned before
+  token_count opened{}; ///< tokens countersigned by the earlier witnesses
 };
 
-/// \brief What an operator can prove about written-off tokens.
+/// \brief An operator's proof that written-off tokens were not used.
 enum class release_proof {
-  holder_destroyed, ///< the holder's host no longer exists and what it used is accounted for
+  holder_destroyed, ///< the holder's host no longer exists and its usage is accounted for
   usage_statement,  ///< the endpoints' records show that the tokens were not used
   fencing,          ///< every endpoint has acknowledged a newer fencing number
 };
 
-/// \brief Returns written-off tokens to the pool. Void unless exactly `of` are written off where it
-/// stands, so that two operators cannot both release on one proof.
+/// \brief Returns written-off tokens to the pool. Rejected unless exactly `of` tokens are written
+/// off at the record's offset, so that two operators cannot both release on one proof.
 struct release {
   team_id team;
   epoch_number epoch{}; ///< 0 for tokens lost with entry hosts in epochs that are over
   token_count tokens{};
-  token_count of{}; ///< written off, as the operator saw it
+  token_count of{}; ///< tokens written off, as the operator saw them
   release_proof proof{};
-  std::string statement; ///< who says so and where it can be checked
+  std::string statement; ///< who gives the proof and where it can be checked
   log_offset basis{};    ///< offset up to which the writer had replayed
 };
 
 using record_body = std::variant<grant, report, reclaim_batch, abandon, replace_witness, release>;
 
-/// \brief A record of the ledger on the stream.
+/// \brief A record of the ledger's log.
 struct ledger_record {
   record_id id;
   record_body body;
 };
 
-/// \brief What replay made of a record. Every replay of the stream gives the same.
+/// \brief Result of replaying a record; the same in every replay of the log.
 enum class record_verdict {
   applied,
   repeated,        ///< the id was seen within the window
-  outdated,        ///< composed so long ago that its repeats may be forgotten
-  unknown_epoch,   ///< over, or never granted
+  outdated,        ///< composed so long ago that the ids of its repeats may be forgotten
+  unknown_epoch,   ///< the epoch is over or was never granted
   not_live,        ///< the epoch was reclaimed, abandoned or closed
-  wrong_term,      ///< another witness has been named since
+  wrong_term,      ///< another witness has been appointed since
   wrong_holder,    ///< the epoch belongs to another incarnation
   already_holding, ///< the holder has a live epoch of this team
   pool_empty,
   out_of_range, ///< an amount that the epoch cannot have
-  changed,      ///< not what the writer saw
+  changed,      ///< the state differs from what the writer saw
 };
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/reservation_table.hpp
+++ b/src/ledger/impl/reservation_table.hpp
@@ -12,8 +12,8 @@
 
 enum class reservation_state : std::uint8_t {
   open,
-  settled,  ///< billed; remembered so that late attempts and settles change nothing
-  orphaned, ///< its entry hosts died; the bound is written off unless an attempt turns up
+  settled,  ///< billed; remembered so that late attempts and settlements have no effect
+  orphaned, ///< no attempt can settle it; the bound is written off unless a retry takes it over
 };
 
 /// \brief The tokens of one request, shared by all its attempts.
@@ -22,8 +22,8 @@
   token_count bound{};
   reservation_state state{};
   token_count bill{};
-  bool disowned{};    ///< an attempt that may have used tokens has gone without a bill
-  time_ms next_check; ///< when it is to be looked at again; earlier entries of the queue are stale
+  bool disowned{};    ///< an attempt that may have used tokens ended without a bill
+  time_ms next_check; ///< time of the next check; earlier queue entries are stale
   std::vector<attempt_id> attempts;
 };
 
@@ -38,15 +38,16 @@
   }
 };
 
-/// \brief The reservations of one holder, with the times at which each is to be looked at again.
+/// \brief The reservations of one holder, each with the time of its next check.
 class reservation_table {
  public:
   [[nodiscard]] reservation* find(const reservation_key& key);
   reservation& add(const reservation_key& key, reservation made, time_ms due);
   void erase(const reservation_key& key) { reservations_.erase(key); }
-  /// \brief Asks for the key to be handed out by `next_due` from `due` on.
+  /// \brief Schedules the next check: `next_due` returns the key once `due` has passed.
   void schedule_check(const reservation_key& key, reservation& r, time_ms due);
-  /// \returns a key that is due, or an empty one.
+  /// \returns a key whose check is due, which leaves the queue, or nothing. It may be stale: the
+  /// caller compares `next_check`.
   [[nodiscard]] std::optional<reservation_key> next_due(time_ms now);
   [[nodiscard]] std::size_t size() const noexcept { return reservations_.size(); }
 
@@ -57,7 +58,8 @@
   };
 
   absl::flat_hash_map<reservation_key, reservation> reservations_;
-  // One queue a span of waiting, each ordered by time because spans are constant.
+  // Checks are scheduled after one of two constant waits, so two queues stay ordered by due time
+  // without sorting.
   std::deque<due_key> first_queue_;
   std::deque<due_key> second_queue_;
 };
--- a/src/ledger/impl/slice.hpp
+++ b/src/ledger/impl/slice.hpp
@@ -11,10 +11,10 @@
 enum class slice_state : std::uint8_t {
   live,
   ended,   ///< the log ended the epoch; open reservations may still settle
-  closing, ///< nothing of it is used again; waits for its last report in the log
+  closing, ///< no longer used; waits for its last report to be read back from the log
 };
 
-/// \brief A transfer to another holder that was not yet acknowledged.
+/// \brief A transfer to another holder that is not yet acknowledged.
 struct pending_transfer {
   std::uint32_t sequence{};
   epoch_number to{};
@@ -23,7 +23,7 @@
   time_ms sent_at;
 };
 
-/// \brief One epoch as its holder sees it. `free()` is never negative.
+/// \brief One epoch as its holder sees it; sums in tokens. `free()` is never negative.
 struct slice {
   epoch_number epoch{};
   slice_state state{};
@@ -31,20 +31,20 @@
   name_index witness{no_name};
   std::uint32_t version{};
   token_count granted{};
-  token_count opened{};  ///< countersigned
-  token_count opening{}; ///< asked of the witness, at least `opened`
+  token_count opened{};  ///< countersigned by the witness
+  token_count opening{}; ///< requested from the witness, at least `opened`
   token_count received{};
   token_count sent{};
   token_count spent{};
   token_count reserved{};
   token_count returned{};
   token_count lost{};
-  bool refused{};                     ///< by the witness of this term
-  std::optional<record_id> replacing; ///< a replacement of the witness is on its way
+  bool refused{};                     ///< the witness of this term refused to countersign more
+  std::optional<record_id> replacing; ///< `replace_witness` record that was not read back yet
   time_ms open_sent;
   time_ms reported;   ///< when the newest report was made
-  time_ms report_due; ///< of a change that should not wait for the next regular report
-  std::vector<transfer_receipt> receipts; ///< not yet in the log
+  time_ms report_due; ///< when a change that must not wait for a regular report is reported
+  std::vector<transfer_receipt> receipts; ///< receipts not yet read back from the log
   std::vector<pending_transfer> transfers;
   std::uint32_t next_transfer{};
 
@@ -63,7 +63,7 @@
   time_ms deadline;
 };
 
-/// \brief Another holder that wants tokens.
+/// \brief A token request of another holder that was not answered yet.
 struct pending_token_request {
   name_index from{no_name};
   std::uint32_t round{};
@@ -72,7 +72,7 @@
   time_ms deadline;
 };
 
-/// \brief One round of asking every other holder of a team for tokens.
+/// \brief One round of token requests to all other holders of a team.
 struct token_request_round {
   struct queried_holder {
     epoch_number epoch{};
@@ -82,25 +82,26 @@
   time_ms started;
   time_ms sent;
   std::vector<queried_holder> holders;
-  bool tokens_received{}; ///< someone sent tokens, so asking again may bring more
+  bool tokens_received{}; ///< a holder sent tokens, so another round may bring more
 
   [[nodiscard]] bool complete() const noexcept;
   void mark_answered(epoch_number epoch);
 };
 
-/// \brief What another holder said it has spent; sums only grow, so it never becomes untrue.
+/// \brief Least amount that another holder has spent, by its own message. Sums only grow, so it
+/// stays a valid lower bound.
 struct peer_spend {
   epoch_number epoch{};
   token_count spent{};
 };
 
-/// \brief Requests that came from one data centre lately.
+/// \brief Recent requests from one data centre.
 struct origin_count {
   name_index data_centre{no_name};
   std::uint32_t requests{};
 };
 
-/// \brief All that a holder keeps of one team.
+/// \brief State that a holder keeps for one team.
 struct account {
   name_index team{no_name};
   std::uint64_t team_hash{};
@@ -111,8 +112,8 @@
   log_offset grant_basis{};
   time_ms grant_sent_at;
   time_ms last_used;
-  token_count largest_bound{}; ///< asked for so far
-  bool invited{};              ///< asked to hold a slice
+  token_count largest_bound{}; ///< largest bound requested so far
+  bool invited{};              ///< another holder asked this host to hold a slice
   token_request_round round;
   std::vector<peer_spend> peer_spends;
 
@@ -120,7 +121,7 @@
   token_count spent_since_tick{};
   double reserved_rate{}; ///< tokens a second
   double spent_rate{};    ///< tokens a second
-  double team_rate{};     ///< tokens a second in the whole fleet, as far as reported
+  double team_rate{};     ///< tokens a second that the whole fleet has reported as spent
   token_count team_spent{};
   time_ms rates_since;
   time_ms rates_at;
@@ -129,7 +130,7 @@
 
   [[nodiscard]] slice* live_slice() noexcept;
   [[nodiscard]] slice* find(epoch_number epoch) noexcept;
-  /// \returns the slice, or null once its last report has been made: its sums are then final.
+  /// \returns the slice, or null if it is closing and its sums are final.
   [[nodiscard]] slice* usable(epoch_number epoch) noexcept;
   [[nodiscard]] token_count reserved() const noexcept;
   [[nodiscard]] token_count waiting_tokens() const noexcept;
--- a/src/ledger/impl/spend_history.hpp
+++ b/src/ledger/impl/spend_history.hpp
@@ -8,12 +8,13 @@
 
 namespace sedgechute::ledger {
 
-/// \brief Spending of the teams that spend, for forecasts.
+/// \brief Recent spending of each team, to forecast when its budget is exhausted.
 class spend_history {
  public:
-  /// \brief Notes the team's sum of spent tokens.
+  /// \brief Records the team's total of spent tokens.
   void record_spent(time_ms now, name_index team, token_count spent);
-  /// \returns when `left` tokens are spent at the rate of the last minutes; none if nothing was.
+  /// \returns the time until `left` tokens are spent at the rate of the last minutes; none if no
+  /// tokens were spent.
   [[nodiscard]] std::optional<time_ms> exhausted_in(time_ms now, name_index team,
                                                     token_count left) const;
 
--- a/src/ledger/impl/witness_role.hpp
+++ b/src/ledger/impl/witness_role.hpp
@@ -8,19 +8,19 @@
 
 namespace sedgechute::ledger {
 
-/// \brief What a witness has countersigned of one epoch.
+/// \brief Tokens of one epoch that a witness has countersigned in its term.
 struct countersigned_amount {
   witness_term term{};
   token_count opened{};
 };
 
-/// \brief Countersigns the use of other hosts' epochs, and seals those whose holder is lost.
+/// \brief Countersigns the use of other hosts' epochs and seals those whose holder is lost.
 class witness_role {
  public:
   explicit witness_role(host_context& context) noexcept : context_{context} {}
 
   void on_open(name_index from, const open_chunk& message);
-  /// \brief Takes up or drops epochs after the team's delegations changed.
+  /// \brief Starts or stops watching epochs after the team's delegations changed.
   void sync(name_index team);
   /// \brief Seals the epochs whose holder is not live.
   void tick(time_ms now);
@@ -39,7 +39,7 @@
   void start_watching(const delegation& d);
 
   host_context& context_;
-  // Ordered, so that a run replays: hash tables are walked in another order in each process.
+  // Ordered so that runs are reproducible: hash tables iterate in another order in each process.
   absl::btree_map<epoch_number, watched_epoch> epochs_;
 };
 
--- a/src/ledger/ledger.hpp
+++ b/src/ledger/ledger.hpp
@@ -4,8 +4,8 @@
 /// \brief Prepaid token budgets: replay of the log, delegated slices, witnesses, transfers between
 /// holders, reservations and bills. docs/LEDGER.md states the rules and why they hold.
 ///
-/// Pure logic: time, records and messages come in as arguments, and what is to be sent or appended
-/// goes out as values. `budget_host` is the part that a daemon wraps in its lock.
+/// Pure logic: time, records and messages are arguments; messages to send and records to append are
+/// returned as values. `budget_host` is the class that a daemon calls under its lock.
 
 #include "ledger/impl/budget_description.hpp"
 #include "ledger/impl/budget_host.hpp"
