--- a/src/ledger/impl/budget_host.cpp
+++ b/src/ledger/impl/budget_host.cpp
@@ -43,8 +43,8 @@
   }
 }
 
-// Messages carry the incarnation they are meant for. Without it, a host that came back would answer
-// for what its earlier life countersigned or received, of which it knows nothing.
+// Messages carry the incarnation that they are addressed to. Without it, a restarted host would
+// answer for what its earlier incarnation countersigned or received, which it does not know.
 void budget_host::on_message(time_ms now, const incarnation& from, const incarnation& to,
                              const ledger_message& message) {
   if (to != context_.self() && !context_.is_injected(mutation::trust_old_incarnation))
@@ -84,9 +84,9 @@
   context_.resend_appends(now);
 }
 
-// When holder and witness are both lost, nobody knows what was opened, so all of it stays written
-// off. The record ends the epoch for those who choose a holder; any host might append it, and one
-// is chosen to keep appends few.
+// When holder and witness are both lost, the opened amount is unknown, so the whole remainder stays
+// written off. The `abandon` record removes the epoch from the choice of holders. Any host may
+// append it; one is selected by hash to keep appends few.
 void budget_host::abandon_lost(time_ms now) {
   if (now < next_abandon_)
     return;
@@ -170,8 +170,8 @@
   }
 }
 
-// Only now is it known which of this host's records were read: had a grant been taken as read
-// before its team's rows were there, the holder would ask for a second one.
+// Appends are confirmed only after all parts are restored: if a grant were confirmed before its
+// team's rows were restored, the holder would request a second one.
 void budget_host::finish_restore(time_ms now) {
   context_.state.finish_restore();
   for (const ledger_snapshot::recent_id& recent : context_.state.recent())
--- a/src/ledger/impl/entry_role.cpp
+++ b/src/ledger/impl/entry_role.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// A holder knows an attempt by its ticket and how many holders it had asked before. A withdrawal
-// that comes late, after the attempt has returned to that holder, then cannot end the newer ask.
+// A holder ticket is the attempt's ticket and the number of times that it has changed its holder.
+// A late withdrawal then cannot end a newer request that the attempt sent to the same holder.
 constexpr unsigned ask_count_bits = 8;
 constexpr ticket_number max_ask_count = (1U << ask_count_bits) - 1;
 
@@ -21,8 +21,8 @@
 
 } // namespace
 
-// A holder in the same data centre goes on when the data centre is cut off. Failing that, the
-// holder with most left is asked, because near exhaustion the others have nothing.
+// A holder in the same data centre stays reachable when the data centre is partitioned. Without
+// one, the holder with the largest remainder is used, because near exhaustion others have none.
 name_index entry_role::pick_holder(const attempt& a) const {
   if (a.prior_holder != no_name && context_.live.is_live(a.prior_holder))
     return a.prior_holder;
@@ -64,7 +64,7 @@
   const std::size_t decided = context_.out.decisions.size();
   send_reserve(now, a);
   deliver_local_replies(now);
-  // A local holder usually decides at once; then the decision is returned rather than queued.
+  // A local holder usually decides at once; its decision is returned rather than queued.
   for (std::size_t i = decided; i < context_.out.decisions.size(); ++i) {
     if (context_.out.decisions[i].ticket != ticket)
       continue;
@@ -106,8 +106,8 @@
 
 void entry_role::on_reply(time_ms now, name_index from, const reserve_reply& message) {
   attempt* const known = find_by_holder_ticket(from, message.ticket);
-  // An answer that nobody waits for any more needs nothing here: the holder asks about the
-  // reservation later and is told to withdraw it.
+  // A reply to an attempt that has ended is ignored: the holder probes the reservation later and
+  // gets a withdrawal.
   if (known == nullptr || known->phase != attempt_phase::asking)
     return;
   const ticket_number ticket = entry_ticket_of(message.ticket);
@@ -157,8 +157,8 @@
     ask_best_holder(now, ticket, a);
 }
 
-// A holder that is short collects tokens for this attempt from the others, so the attempt stays
-// with it. Were it to follow the tokens, it would leave each holder as they arrive.
+// A holder that is short of tokens requests them from the others for this attempt, so the attempt
+// stays with it. If it followed the tokens, it would leave each holder just as they arrive.
 void entry_role::retry_reserve(time_ms now, ticket_number ticket, attempt& a) {
   const bool sent_away = a.excluded != no_name;
   a.excluded = no_name;
@@ -178,7 +178,7 @@
     send_reserve(now, a);
 }
 
-// The holder asked before may have reserved without this host's knowing.
+// The previous holder may have reserved although its reply is lost, so it gets a withdrawal.
 void entry_role::change_holder(time_ms now, ticket_number ticket, attempt& a, name_index holder) {
   if ((a.holder_ticket & max_ask_count) == max_ask_count)
     return;
@@ -255,7 +255,7 @@
   attempts_.erase(entry_ticket_of(message.ticket));
 }
 
-// Only an attempt that this host does not know, or has with another holder, is withdrawn.
+// The attempt is withdrawn only if this host does not know it or has it with another holder.
 void entry_role::on_message(time_ms, name_index from, const reservation_probe& message) {
   if (find_by_holder_ticket(from, message.ticket) != nullptr)
     return;
--- a/src/ledger/impl/holder_report.cpp
+++ b/src/ledger/impl/holder_report.cpp
@@ -1,4 +1,4 @@
-// What a holder learns from the log and tells it.
+// Updates of a holder's slices from the log, and its reports to the log.
 
 #include "ledger/impl/holder_role.hpp"
 
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr time_ms rate_span{1000};
-// Chunks follow demand within seconds; slices follow it within a minute or so, for a burst of one
-// team must not take what its other data centres need.
+// Chunks follow demand within seconds; slices follow it within about a minute, because a burst in
+// one data centre must not take the tokens that the team's other data centres need.
 constexpr double reserved_weight = 0.3;
 constexpr double spent_weight = 0.02;
 
@@ -66,8 +66,8 @@
     s->refused = false;
     s->replacing.reset();
   }
-  // A holder that was paused for long reads here that its epoch is over. What it had opened stays
-  // its own, written off in the log, until it reports what it did not use.
+  // A holder that was paused for long learns here that its epoch is over. Its opened tokens stay
+  // with it, written off in the log, until it reports which of them it did not use.
   if (d.state != delegation_state::live && s->state == slice_state::live)
     s->state = slice_state::ended;
 }
@@ -125,8 +125,8 @@
   advance(now, a);
 }
 
-// Tokens go back from what was opened, so that what the witness has not countersigned stays its
-// own to reclaim, and the two can never return the same token.
+// Only opened tokens are returned; tokens that are not countersigned are left to the witness to
+// reclaim, so holder and witness can never return the same token.
 void holder_role::return_free_tokens(time_ms now, account& a) {
   slice* const s = a.live_slice();
   if (s == nullptr || !must_return_tokens(a) || s->free() <= 0)
@@ -164,8 +164,8 @@
   return item;
 }
 
-// A transfer to a host that is gone may or may not have arrived, so it is neither taken back nor
-// waited for: what nobody reports stays written off.
+// A transfer to a lost host may or may not have arrived, so it is neither taken back nor waited
+// for: tokens that no receiver reports stay written off.
 bool holder_role::transfers_finished(time_ms now, const slice& s) const {
   const live_hosts& live = context_.live;
   return std::all_of(s.transfers.begin(), s.transfers.end(), [&](const pending_transfer& t) {
@@ -174,8 +174,8 @@
   });
 }
 
-// Closing an idle slice while the log cannot be reached would only make it unusable: it could be
-// neither returned nor replaced until the log is back. So a report must have been read back first.
+// A slice closed while the log is unreachable would be unusable: it could be neither returned nor
+// replaced until the log is back. So a recent report must have been read back first.
 bool holder_role::log_is_reachable(time_ms now, const slice& s, const delegation& d) const {
   return s.version != 0 && d.version == s.version &&
          now - s.reported <= context_.options().append_resend * 4;
@@ -193,7 +193,7 @@
   return a.waiting.empty() && now - a.last_used >= context_.options().idle_close;
 }
 
-// One record for all teams of this host. A report is not repeated as such: the next one says more.
+// Appends one record for all teams of this host, once: the next report supersedes it.
 void holder_role::report_changes(time_ms now) {
   const bool regular = now >= next_report_;
   if (regular)
--- a/src/ledger/impl/holder_role.cpp
+++ b/src/ledger/impl/holder_role.cpp
@@ -60,9 +60,9 @@
     advance(now, a);
 }
 
-// Copies of a request for a reservation and of its settlement may both come after the billed
+// Copies of a reservation request and of its settlement may both arrive after the billed
 // reservation was forgotten, and would be billed a second time. Tickets of an entry host ascend and
-// wait for seconds only, so one at or below a forgotten ticket can only be such a copy.
+// wait only seconds, so a ticket at or below a forgotten one belongs to such a copy.
 bool holder_role::is_forgotten(const attempt_id& attempt) const {
   const auto found = forgotten_upto_.find(attempt.entry);
   return found != forgotten_upto_.end() && attempt.ticket <= found->second &&
@@ -77,8 +77,8 @@
   reservations_.erase(key);
 }
 
-// Attempts of one request share its reservation, so that however many run there is one bill, and a
-// repeated or late request for a reservation makes no second one.
+// All attempts of a request share one reservation, so that there is one bill however many attempts
+// run, and a repeated or late reservation request creates no second reservation.
 bool holder_role::join_reservation(time_ms now, account& a, const attempt_id& attempt,
                                    const reserve_request& request) {
   const auto waits = [&](const waiting_attempt& w) { return w.attempt == attempt; };
@@ -132,7 +132,7 @@
   account& a = account_of(now, team);
   const reservation_key key{team, request.key};
   reservation* const r = reservations_.find(key);
-  // A copy of a settlement that comes very late may meet another attempt's reservation of the key.
+  // A very late copy of a settlement may find a reservation of the key made by another attempt.
   const bool concerned =
       r != nullptr && r->state != reservation_state::settled &&
       std::find(r->attempts.begin(), r->attempts.end(), attempt) != r->attempts.end();
@@ -177,7 +177,7 @@
   r.bound = smaller;
 }
 
-// The last attempt to leave gives the tokens back, unless an earlier one may have used some.
+// Removing the last attempt frees the tokens, unless an earlier attempt may have used some.
 void holder_role::remove_attempt(time_ms now, const reservation_key& key, reservation& r,
                                  const attempt_id& attempt) {
   std::erase(r.attempts, attempt);
@@ -191,8 +191,8 @@
   }
 }
 
-// An engine may report more than the limit it was given. The team paid for what was reserved, and
-// billing more could exceed its budget, so the bound is the most that is billed.
+// An engine may report more tokens than its limit. Billing more than the reserved bound could
+// exceed the team's budget, so the bill is capped at the bound.
 void holder_role::charge(time_ms now, account& a, const reservation_key& key, reservation& r,
                          token_count used) {
   token_count charged = std::clamp<token_count>(used, 0, r.bound);
@@ -221,8 +221,8 @@
   from -= r.bound;
 }
 
-// A data centre that draws on the budget from afar is asked to hold a slice of its own, so that it
-// goes on when it is cut off.
+// A data centre that uses the budget through a remote holder is invited to hold a slice of its own,
+// so that it can continue when it is partitioned.
 void holder_role::count_origin(time_ms now, account& a, name_index entry) {
   const name_index origin = context_.live.data_centre_of(entry);
   if (origin == no_name || origin == context_.data_centre())
@@ -254,11 +254,11 @@
   }
 }
 
-// An entry host that dies leaves reservations that nobody settles. They could have run up to their
-// bound, so they are not given back; they are not billed either, because a later attempt may be
-// billed elsewhere. The bound is written off, unless an attempt under the key turns up in time.
-// A live entry host that does not know the attempt, because an answer was lost or came late,
-// withdraws it when asked.
+// An entry host that dies leaves reservations that are never settled. Their attempts may have used
+// up to the bound, so the tokens are not freed; they are not billed either, because a later attempt
+// may be billed elsewhere. The bound is written off unless an attempt under the key arrives in
+// time. A live entry host that does not know the attempt, because a reply was lost or late,
+// withdraws it when probed.
 void holder_role::check_reservation(time_ms now, const reservation_key& key, reservation& r) {
   const ledger_options& options = context_.options();
   bool orphaned = true;
--- a/src/ledger/impl/holder_supply.cpp
+++ b/src/ledger/impl/holder_supply.cpp
@@ -1,5 +1,4 @@
-// Where a holder's tokens come from: chunks of its slice, grants, and the verdict when neither
-// helps.
+// Supply of a holder: chunks of its slice, grants, and verdicts on attempts that neither can serve.
 
 #include "ledger/impl/holder_role.hpp"
 
@@ -29,7 +28,8 @@
   decide_waiting(now, a);
 }
 
-// Small requests may pass a large one that does not fit: refusing them would strand what is left.
+// Small requests may overtake a large one that does not fit: otherwise the tokens left could not be
+// spent.
 void holder_role::serve_waiting(time_ms now, account& a) {
   if (must_return_tokens(a))
     return;
@@ -49,23 +49,23 @@
   }
 }
 
-// Tokens that are open when this host dies are written off, so no more is opened than about two
-// seconds of demand, and never more than a small share of the budget.
+// Opened tokens are written off if this host dies, so a chunk covers about two seconds of demand
+// and never more than a small share of the budget.
 token_count holder_role::chunk_size(const account& a) const {
   const ledger_options& options = context_.options();
   const token_count most = context_.state.totals(a.team).bought() / options.chunk_share;
   return std::min(demand_in(a.reserved_rate, options.chunk_span), most);
 }
 
-// A data centre's part of the team's demand. Until the rates have settled all count alike.
+// The data centre's share of the team's demand; equal shares until the measured rates are reliable.
 double holder_role::demand_share(time_ms now, const account& a) const {
   if (now - a.rates_since < context_.options().rate_warmup || a.team_rate <= 0)
     return 1.0 / static_cast<double>(std::max<std::size_t>(context_.live.data_centre_count(), 1));
   return std::min(1.0, a.spent_rate / a.team_rate);
 }
 
-// A slice covers the demand of an hour's cut, but no more than this data centre's part of all that
-// is left, so that whichever side of a cut a token is on, it is where it will be asked for.
+// A slice covers the demand of an hour's partition, but no more than this data centre's share of
+// the remaining budget, so that on each side of a partition tokens are where they are requested.
 token_count holder_role::slice_size(time_ms now, const account& a, token_count need) const {
   const ledger_options& options = context_.options();
   const token_count pool = context_.state.totals(a.team).pool();
@@ -80,7 +80,7 @@
   return s.refused ? 0 : s.unopened();
 }
 
-// A reduced or cancelled contract takes back what is delegated and unused.
+// A reduced or cancelled contract takes back tokens that are delegated and unused.
 bool holder_role::must_return_tokens(const account& a) const {
   return draining_ || context_.state.totals(a.team).overcommitted();
 }
@@ -119,8 +119,8 @@
   context_.send(s->witness, open_chunk{s->epoch, s->term, s->opening});
 }
 
-// The record states what was countersigned so far. From here until it is read back, answers of the
-// old witness are ignored: the new one could not know of them when it reclaims.
+// The record states the amount countersigned so far. Until it is read back, replies of the old
+// witness are ignored, because the new witness would not know of them when it reclaims.
 void holder_role::append_witness_replacement(time_ms now, account& a, slice& s) {
   name_index witness =
       context_.live.rendezvous_host(a.team_hash, context_.data_centre(), context_.self_index());
@@ -139,7 +139,7 @@
 
 void holder_role::request_grant(time_ms now, account& a) {
   if (a.grant_sent && a.grant_basis + context_.options().repeat_window < context_.state.offset()) {
-    // The window has passed without it, so no copy of it can be valid any more.
+    // The repeat window has passed without the grant, so no copy of it can be applied any more.
     context_.cancel_append(*a.grant_sent);
     a.grant_sent.reset();
   }
@@ -151,7 +151,7 @@
   const token_count need = a.waiting_tokens() + chunk_size(a);
   const token_count size = slice_size(now, a, need);
   const bool wanted = !a.waiting.empty() || a.invited || s != nullptr;
-  // A slice is kept nearly full, because it has to last when the data centre is cut off.
+  // A slice is kept nearly full, because it has to last while the data centre is partitioned.
   const bool low = s == nullptr || held < need || held < size / 4 * 3;
   if (wanted && low)
     append_grant(now, a, std::min(pool, std::max(need, size - held)));
@@ -192,7 +192,7 @@
   }
 }
 
-// The log lags behind what holders have spent; their own words and this host's slices are newer.
+// The log lags behind the holders' spending; their messages and this host's slices are newer.
 token_count holder_role::max_remaining(const account& a) const {
   const team_totals totals = context_.state.totals(a.team);
   token_count left = totals.contract - totals.spent - totals.written_off;
@@ -201,7 +201,7 @@
     if (d != nullptr)
       left -= std::max<token_count>(spent - d->spent, 0);
   };
-  // A holder that was suspected wrongly gives back what it did not use.
+  // A wrongly suspected holder returns the tokens that it did not use.
   context_.state.for_each_of(a.team, [&](const delegation& d) {
     if (d.state != delegation_state::live && context_.live.is_live(d.holder))
       left += d.written_off();
@@ -213,10 +213,10 @@
   return left;
 }
 
-// `exhausted` must be true: it is said only when what is known to be spent proves that the request
-// cannot be covered. Asking who still has tokens would not do, for tokens on their way between two
-// holders are missed by asking each in turn. What is reserved, on its way or out of reach may still
-// come within the wait.
+// `exhausted` must be certain: it is returned only if the tokens known to be spent prove that the
+// request cannot be covered. Querying each holder in turn is no proof, because it misses tokens in
+// transfer between two holders. Tokens that are reserved, in transfer or out of reach may still
+// arrive before the deadline.
 std::optional<reserve_verdict> holder_role::verdict_for(time_ms now, account& a,
                                                         const waiting_attempt& w) {
   if (w.bound > max_remaining(a))
--- a/src/ledger/impl/holder_transfer.cpp
+++ b/src/ledger/impl/holder_transfer.cpp
@@ -1,5 +1,5 @@
 // Escrow transfers between holders: debited first, then sent until acknowledged. They need neither
-// the log nor a clock; a lost one strands its tokens until it is repeated.
+// the log nor a clock; the tokens of a lost message are unusable until it is repeated.
 
 #include "ledger/impl/holder_role.hpp"
 
@@ -40,7 +40,7 @@
     if (asked.answered)
       continue;
     const delegation* const d = context_.state.find(asked.epoch);
-    // A holder that is gone cannot answer; verdict_for counts its tokens as out of reach.
+    // A lost holder cannot answer; verdict_for treats its tokens as out of reach.
     if (d == nullptr || !context_.live.is_live(d->holder))
       asked.answered = true;
     else
@@ -76,9 +76,9 @@
   }
 }
 
-// Only what the log knows this epoch to have is sent on. If tokens were passed on before their
-// receipt is in the log, the next receiver's report would claim more of this epoch than it has, and
-// two holders that sent each other tokens could make each other's reports void for good.
+// Only tokens whose receipt is in the log are sent on. If tokens were passed on earlier, the next
+// receiver's report would claim more of this epoch than the log shows, and two holders that sent
+// each other tokens could cause each other's reports to be rejected permanently.
 token_count holder_role::sendable(const slice& s) {
   token_count unreported = 0;
   for (const transfer_receipt& receipt : s.receipts)
@@ -86,8 +86,8 @@
   return std::max<token_count>(s.free() - unreported, 0);
 }
 
-// Two holders that are both short must not pass the same tokens to and fro: the one with the older
-// epoch collects.
+// Two holders that are both short of tokens must not pass the same tokens back and forth: the one
+// with the older epoch keeps its tokens.
 bool holder_role::serve_token_request(time_ms now, account& a, slice& s,
                                       const pending_token_request& request) {
   const bool needed_here = !a.waiting.empty() && s.epoch < request.to;
@@ -114,8 +114,9 @@
                                              request.to, tokens});
 }
 
-// The last requests of a budget would each find part of their tokens with every holder. So when
-// little is left, all of it goes to the holder with the oldest epoch, and requests follow.
+// Near exhaustion each holder would have only part of the tokens that a request needs. So when
+// little is left, all of it is sent to the holder with the oldest epoch, the collector, and
+// requests are redirected to it.
 const delegation* holder_role::collector(account& a) const {
   const slice* const s = a.live_slice();
   const ledger_options& options = context_.options();
@@ -154,11 +155,11 @@
   }
 }
 
-// A transfer is repeated until acknowledged, so each is credited by its id once. One that comes for
-// an epoch that is over was never credited and never will be, so its sender may take it back.
+// A transfer is repeated until acknowledged, so its id ensures that it is credited once. A transfer
+// to an epoch that is over was not credited and never will be, so its sender may take it back.
 void holder_role::on_message(time_ms now, name_index from, const token_transfer& message) {
-  // An epoch leaves the state only when each of its transfers has been reported, so one from an
-  // epoch that is gone is a copy as well.
+  // An epoch is erased from the state only after each of its transfers was reported, so a transfer
+  // from an erased epoch is a copy as well.
   const bool gone =
       message.from <= context_.state.offset() && context_.state.find(message.from) == nullptr;
   const bool repeated = gone || credited_transfers_.contains({message.from, message.sequence});
@@ -169,8 +170,8 @@
   const name_index team = context_.state.find_team(message.team);
   slice* const s = slice_of(team, message.to);
   if (s == nullptr || s->state == slice_state::closing) {
-    // A grant that this host has not read yet is not over: a copy of the transfer may come again
-    // after it was, and would be credited beside what the sender had taken back.
+    // An epoch whose grant this host has not read yet is not over: declining would let the sender
+    // take the tokens back, and a copy of the transfer could be credited after the grant is read.
     const bool over = message.to <= context_.state.offset();
     if (over || context_.is_injected(mutation::decline_early))
       context_.send(from, transfer_declined{message.from, message.sequence});
@@ -187,7 +188,7 @@
   advance(now, a);
 }
 
-// Keeps the ids of transfers from epochs that are still in the state.
+// Drops the ids of transfers from epochs that are no longer in the state.
 void holder_role::prune_credited_transfers() {
   constexpr std::size_t enough = 1024;
   if (credited_transfers_.size() < enough)
--- a/src/ledger/impl/ledger_checkpoint.cpp
+++ b/src/ledger/impl/ledger_checkpoint.cpp
@@ -1,5 +1,5 @@
-// Checkpoints of the replayed state: a reader that starts after the oldest records are gone begins
-// with one.
+// Checkpoints of the replayed state, from which a reader starts when the oldest records are no
+// longer in the log.
 
 #include "ledger/impl/ledger_state.hpp"
 
@@ -39,8 +39,8 @@
 
 } // namespace
 
-// Rows are summed rather than chained: two hosts that began at different checkpoints may have
-// interned the same names in another order.
+// Row hashes are summed rather than chained because hosts that started from different checkpoints
+// may have interned the same names in another order.
 std::uint64_t ledger_state::digest() const {
   std::uint64_t sum = 0;
   for (name_index team = 0; team < teams_.size(); ++team) {
@@ -60,7 +60,7 @@
   return sum;
 }
 
-// The same sum as `digest`, for one team of a cut.
+// Part of the sum in `digest` for one team of a cut.
 std::uint64_t ledger_state::row_digest(const ledger_snapshot::team_row& row,
                                        std::span<const delegation> delegations) const {
   token_count outstanding = 0;
@@ -97,7 +97,8 @@
   }
   for (name_index index = 0; index < data_centres_.size(); ++index)
     result.data_centres.push_back(data_centre(index));
-  // Hosts of the past are left out: hundreds of incarnations come and go each day.
+  // Only hosts that a delegation refers to are stored: hundreds of incarnations start and end each
+  // day.
   std::vector<name_index> places(hosts_.size(), no_name);
   const auto place_of = [&](name_index host) {
     if (host == no_name)
@@ -120,8 +121,8 @@
   return result;
 }
 
-// Names stay interned, because a running host that lost its place in the stream keeps indices of
-// them.
+// Names stay interned, because a running host that restores after a gap in the log still holds
+// their indices.
 void ledger_state::restore(const ledger_snapshot& snapshot) {
   begin_restore();
   restore_part(snapshot);
@@ -133,8 +134,8 @@
   touched_.clear();
 }
 
-// A team's row and epochs are replaced together, so whoever looks between two parts sees each team
-// as it was at the old place or as it is at the new one. Both are what replay passes through.
+// A team's row and epochs are replaced together, so between two parts each team is in its state at
+// the old offset or at the new one. Replay passes through both states.
 std::vector<name_index> ledger_state::restore_part(const ledger_snapshot& part) {
   std::vector<name_index> teams;
   for (const ledger_snapshot::team_row& given : part.teams) {
--- a/src/ledger/impl/ledger_cut.cpp
+++ b/src/ledger/impl/ledger_cut.cpp
@@ -1,6 +1,6 @@
-// The state read in parts. Weighed against holding records back until all parts are read, which
-// would stall grants and published changes for as long as the reader takes them, and against parts
-// that each have an offset of their own, which would have every record judged team by team.
+// Reads the state in parts. Two alternatives were rejected: delaying records until all parts are
+// read would stall grants and published changes for as long as the reader takes, and parts with
+// an offset each would require replay to judge every record team by team.
 
 #include "ledger/impl/ledger_state.hpp"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Gives each name that a part refers to its position in that part.
+/// \returns the position of a name in a part, to which it is added if it is new.
 template <typename Name, typename Lookup>
 name_index place_in(std::vector<Name>& names, absl::flat_hash_map<name_index, name_index>& places,
                     name_index index, Lookup&& name_of) {
@@ -46,9 +46,9 @@
   return image;
 }
 
-// Called before each change of a team, so that a part read later still shows the team as it was at
-// the cut. A part with some rows older and some newer than a record would restore to a state that
-// no replay gives: a transfer credited but not debited, or a grant out of a pool that still has it.
+// Called before each change of a team, so that a part read later still has the team's row as of the
+// cut. Rows from before and after a record would restore to a state that no replay reaches: a
+// transfer credited but not debited, or a granted amount that is still in the pool.
 void ledger_state::save_image(name_index team) {
   if (fault_ == mutation::cut_without_images)
     return;
--- a/src/ledger/impl/ledger_replay.cpp
+++ b/src/ledger/impl/ledger_replay.cpp
@@ -1,4 +1,4 @@
-// The rules by which replay judges records. docs/LEDGER.md lists them with their reasons.
+// The rules by which replay applies or rejects records. docs/LEDGER.md lists them with reasons.
 
 #include "ledger/impl/ledger_state.hpp"
 
@@ -17,8 +17,8 @@
 
 } // namespace
 
-// Ids are remembered for a window of offsets only. A grant composed before the window began might
-// be a repeat of a forgotten one, so it is void; the writer reads that and composes a new one.
+// Ids are remembered for a window of offsets only. A grant composed before the window may be a
+// repeat of a forgotten one, so it is rejected; the writer reads that and composes a new one.
 record_verdict ledger_state::apply(log_offset offset, const record_id& id, const grant& body) {
   if (body.basis + repeat_window_ < offset && fault_ != mutation::ignore_basis)
     return outdated;
@@ -78,9 +78,9 @@
   return all;
 }
 
-// Reports are sums since the epoch began, so a lost, repeated or late one needs no id. What an
-// operator released counts as given back. One that was under way meanwhile may give back some of
-// the same tokens, and only what it gives back beyond them is new.
+// Reports are sums since the epoch began, so a lost, repeated or late report needs no id. Released
+// tokens count as returned. A report that was under way during the release may return some of the
+// same tokens, so only the amount beyond the released one is new.
 record_verdict ledger_state::apply_report(const epoch_report& item) {
   delegation* d = find_mutable(item.epoch);
   if (d == nullptr)
@@ -108,8 +108,8 @@
   return applied;
 }
 
-// A transfer is credited once: its sequence number is kept with the epoch that sent it. A sender
-// that is over has no remainder, so a late repeat finds nothing to move.
+// A transfer is credited once: its sequence number is stored with the epoch that sent it. An epoch
+// that is over has no remainder, so a late repeat moves no tokens.
 void ledger_state::apply_receipts(delegation& to, const epoch_report& item) {
   for (const transfer_receipt& receipt : item.received) {
     delegation* const from = find_mutable(receipt.from);
@@ -128,8 +128,8 @@
   }
 }
 
-// Closing returns all but what receivers of transfers have still to report. A wrongly suspected
-// holder closes its reclaimed epoch too: it alone knows what it did not use.
+// Closing returns all tokens except transfers that their receivers have not reported yet. A wrongly
+// suspected holder closes its reclaimed epoch too, because only it knows what it did not use.
 void ledger_state::close(delegation& d, const epoch_report& item) {
   const token_count in_transit = std::max<token_count>(item.sent - d.moved, 0);
   const token_count back = std::max<token_count>(d.remainder() - d.lost - in_transit, 0);
@@ -147,9 +147,9 @@
   return all;
 }
 
-// Only the witness of the current term knows all that was countersigned: a replaced one may have
-// missed what its successor signed. What was released before may be among what it never signed, so
-// it counts against that, with what was given back: the two are one sum.
+// Only the witness of the current term knows all countersigned tokens: a replaced witness does not
+// know what its successor signed. Tokens released before may be among those never signed, so
+// `returned`, the sum of released and returned tokens, is subtracted from the unopened ones.
 record_verdict ledger_state::apply_reclaim(const reclaim& item) {
   delegation* const d = find_mutable(item.epoch);
   if (d == nullptr)
--- a/src/ledger/impl/ledger_state.cpp
+++ b/src/ledger/impl/ledger_state.cpp
@@ -89,8 +89,8 @@
     touched_.push_back(team);
 }
 
-// A change of an epoch is bracketed by subtract_from_totals and add_to_totals, so that a team's
-// sums cannot drift from its epochs whatever the change is.
+// Each change of an epoch stands between subtract_from_totals and add_to_totals, so that a team's
+// sums cannot drift from its epochs.
 void ledger_state::subtract_from_totals(const delegation& d) {
   team_row& row = teams_[d.team];
   row.outstanding -= d.outstanding();
@@ -106,7 +106,7 @@
   touch(d.team);
 }
 
-// What an ended epoch spent stays in the team's sum; only the epoch's own entry goes.
+// Spent tokens of an ended epoch stay in the team's sum; only the delegation is erased.
 void ledger_state::erase_if_finished(epoch_number epoch) {
   const auto found = delegations_.find(epoch);
   const delegation& d = found->second;
@@ -124,8 +124,8 @@
   delegations_.erase(found);
 }
 
-// An append whose answer was lost is repeated under the same id, so a grant may stand in the log
-// twice. Its second copy would delegate the tokens twice to a holder that asked once.
+// An append whose answer was lost is repeated under the same id, so a grant may be in the log
+// twice. Applying the second copy would delegate the tokens twice for one request.
 bool ledger_state::remember_id(log_offset offset, const record_id& id) {
   if (!recent_ids_.insert(id).second)
     return fault_ == mutation::forget_record_ids;
--- a/src/ledger/impl/witness_role.cpp
+++ b/src/ledger/impl/witness_role.cpp
@@ -6,7 +6,8 @@
 namespace sedgechute::ledger {
 
 // The holder may have read its grant, or its replacement of the witness, before this host has. It
-// asks only after reading it back, so an epoch or term beyond what this host has replayed is real.
+// sends `open_chunk` only after reading that record back, so an epoch or term beyond this host's
+// offset exists.
 bool witness_role::may_countersign(const open_chunk& message) const {
   const auto known = epochs_.find(message.epoch);
   if (known != epochs_.end() && message.term < known->second.term)
@@ -56,8 +57,8 @@
   context_.state.for_each_of(team, [&](const delegation& d) {
     const bool mine = d.witness == context_.self_index();
     const auto known = epochs_.find(d.epoch);
-    // The holder may have read the record that names this host before this host has. What was
-    // countersigned meanwhile must not be forgotten when an older record of the epoch is read.
+    // The holder may have read the record that appoints this host before this host has. Reading an
+    // older record of the epoch must not drop what was countersigned meanwhile.
     const bool ahead = known != epochs_.end() && known->second.term > d.term &&
                        !context_.is_injected(mutation::forget_early_opening);
     if (mine && d.state == delegation_state::live)
@@ -68,8 +69,8 @@
   });
 }
 
-// Sealing is for good: a holder that was paused for an hour and wakes up is refused, so what it
-// had not opened can be granted to others without waiting for any clock.
+// A seal is permanent: a holder that resumes after a pause of an hour is refused, so its unopened
+// tokens can be granted to others without waiting for any clock.
 void witness_role::tick(time_ms now) {
   reclaim_batch batch;
   for (auto next = epochs_.begin(); next != epochs_.end();) {
