--- a/bench/faults/main.cpp
+++ b/bench/faults/main.cpp
@@ -1,7 +1,7 @@
 // sedgechute-faults: runs random schedules of faults against several hosts' budgets and checks
 // after every step that no team can overspend and no request is billed twice.
 
-#include "figures.hpp"
+#include "measurements.hpp"
 #include "schedule.hpp"
 
 #include <absl/flags/flag.h>
@@ -19,10 +19,10 @@
 namespace sedgechute::ledger {
 namespace {
 
-using wall = std::chrono::steady_clock;
+using steady_clock = std::chrono::steady_clock;
 
-double seconds_since(wall::time_point start) {
-  return std::chrono::duration<double>(wall::now() - start).count();
+double seconds_since(steady_clock::time_point start) {
+  return std::chrono::duration<double>(steady_clock::now() - start).count();
 }
 
 void print_failure(const schedule& s, const findings& found) {
@@ -43,7 +43,7 @@
 
 int run_schedules(std::uint64_t count, std::uint64_t seed) {
   totals sum;
-  const auto start = wall::now();
+  const auto start = steady_clock::now();
   for (; sum.run < count && sum.failed < 3; ++sum.run) {
     const schedule s = make_schedule(seed + sum.run, mutation::none);
     const findings found = run_schedule(s);
@@ -66,7 +66,7 @@
 }
 
 /// \returns the seed of the first schedule that is wrong with the mutation alone, or 0.
-std::uint64_t caught_by(mutation fault, std::uint64_t count, std::uint64_t seed) {
+std::uint64_t find_detecting_seed(mutation fault, std::uint64_t count, std::uint64_t seed) {
   for (std::uint64_t i = 0; i < count; ++i) {
     const bool noticed = !run_schedule(make_schedule(seed + i, fault)).clean();
     if (noticed && run_schedule(make_schedule(seed + i, mutation::none)).clean())
@@ -82,7 +82,7 @@
     if (fault == mutation::none)
       continue;
     ++tried;
-    const std::uint64_t by = caught_by(fault, count, seed);
+    const std::uint64_t by = find_detecting_seed(fault, count, seed);
     missed += by == 0 ? 1 : 0;
     std::cout << name << ": ";
     if (by == 0)
@@ -103,7 +103,7 @@
   const std::uint64_t count = absl::GetFlag(FLAGS_schedules);
   const std::uint64_t seed = absl::GetFlag(FLAGS_seed);
   if (absl::GetFlag(FLAGS_figures))
-    return sedgechute::ledger::print_figures(seed);
+    return sedgechute::ledger::print_measurements(seed);
   if (absl::GetFlag(FLAGS_mutations))
     return sedgechute::ledger::run_mutations(count, seed);
   return sedgechute::ledger::run_schedules(count, seed);
--- a/bench/faults/measured_fleet.cpp
+++ b/bench/faults/measured_fleet.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr token_count least_bound = 200;
-constexpr std::uint64_t more_bound = 1800;
-constexpr std::uint64_t longest_ms = 5000;
+constexpr token_count min_bound = 200;
+constexpr std::uint64_t extra_bound = 1800;
+constexpr std::uint64_t max_extra_ms = 5000;
 constexpr std::uint32_t central_host = 0;
 
 } // namespace
@@ -32,7 +32,7 @@
   for (std::size_t t = 0; t < shape_.teams.size(); ++t) {
     const token_count bought = shape_.teams[t].bought;
     teams_.emplace_back("team-" + std::to_string(t));
-    books_.push_back({bought, 0, 0, std::vector(shape_.hosts, bought / shape_.hosts), bought});
+    tallies_.push_back({bought, 0, 0, std::vector(shape_.hosts, bought / shape_.hosts), bought});
     reference_.on_contract(0, teams_.back(), bought);
     for (fleet_host& h : hosts_)
       h.budgets->on_contract(now_, 0, teams_.back(), bought);
@@ -93,7 +93,7 @@
   return there[random_.below(there.size())];
 }
 
-void measured_fleet::arrive() {
+void measured_fleet::start_requests() {
   for (std::uint32_t team = 0; team < shape_.teams.size(); ++team) {
     due_[team] += shape_.teams[team].requests_per_s * static_cast<double>(shape_.round.count()) /
                   1000.0 * 2 * random_.unit();
@@ -101,13 +101,13 @@
       open_request r;
       r.team = team;
       r.host = draw_host();
-      r.bound = least_bound + static_cast<token_count>(random_.below(more_bound));
+      r.bound = min_bound + static_cast<token_count>(random_.below(extra_bound));
       r.used = r.bound * static_cast<token_count>(20 + random_.below(60)) / 100;
-      r.ends = now_ + time_ms{static_cast<std::int64_t>(500 + random_.below(longest_ms))};
-      books& b = books_[team];
+      r.ends = now_ + time_ms{static_cast<std::int64_t>(500 + random_.below(max_extra_ms))};
+      team_tally& b = tallies_[team];
       const bool covered = is_counted(b) && r.bound <= b.bought - b.spent - b.reserved;
-      ask_simple_policies(r, covered);
-      ++ours_.asked;
+      count_baselines(r, covered);
+      ++delegated_.asked;
       const request_id key{std::to_string(next_key_++)};
       const budget_decision decision =
           hosts_[r.host].budgets->reserve(now_, {teams_[team], key, r.bound, std::nullopt});
@@ -120,8 +120,8 @@
 }
 
 // Both simple policies are judged by the same question: did the budget as a whole cover it?
-void measured_fleet::ask_simple_policies(const open_request& r, bool covered) {
-  books& b = books_[r.team];
+void measured_fleet::count_baselines(const open_request& r, bool covered) {
+  team_tally& b = tallies_[r.team];
   const auto count = [&](request_counts& counts, bool granted) {
     ++counts.asked;
     counts.refused += granted ? 0 : 1;
@@ -138,23 +138,23 @@
 }
 
 // The last thousandth of a budget is not counted.
-bool measured_fleet::is_counted(const books& b) {
+bool measured_fleet::is_counted(const team_tally& b) {
   return b.spent < b.bought - b.bought / 1000;
 }
 
 void measured_fleet::decide(std::uint32_t host, const budget_decision& decision) {
   const auto found = open_.find({host, decision.ticket});
   open_request& r = found->second;
-  books& b = books_[r.team];
+  team_tally& b = tallies_[r.team];
   if (decision.outcome == budget_outcome::granted) {
     r.granted = true;
     b.reserved += r.bound;
     ends_.emplace(r.ends, found->first);
     return;
   }
-  ++ours_.refused;
+  ++delegated_.refused;
   if (is_counted(b) && r.bound <= b.bought - b.spent - b.reserved)
-    ++ours_.refused_falsely;
+    ++delegated_.refused_falsely;
   open_.erase(found);
 }
 
@@ -167,8 +167,8 @@
       continue;
     const open_request r = found->second;
     open_.erase(found);
-    books_[r.team].reserved -= r.bound;
-    books_[r.team].spent += r.used;
+    tallies_[r.team].reserved -= r.bound;
+    tallies_[r.team].spent += r.used;
     hosts_[r.host].budgets->settle(now_, id.second, r.used);
     collect(r.host);
   }
@@ -176,7 +176,7 @@
 
 void measured_fleet::round() {
   now_ += shape_.round;
-  for (const on_its_way& m : std::exchange(network_, {})) {
+  for (const in_flight_message& m : std::exchange(network_, {})) {
     const std::uint32_t from = index_of(m.from);
     const std::uint32_t to = index_of(m.message.to);
     if (!connected(from, to))
@@ -189,7 +189,7 @@
     reference_.on_record(log_.size(), log_.back());
   }
   end_requests();
-  arrive();
+  start_requests();
   for (std::uint32_t i = 0; i < hosts_.size(); ++i) {
     fleet_host& h = hosts_[i];
     while (h.data_centre != cut_ && h.read_upto < log_.size()) {
@@ -208,7 +208,7 @@
 
 void measured_fleet::run_until_spent(double share, time_ms most) {
   const auto spent = [&] {
-    return std::all_of(books_.begin(), books_.end(), [&](const books& b) {
+    return std::all_of(tallies_.begin(), tallies_.end(), [&](const team_tally& b) {
       return static_cast<double>(b.spent) >= share * static_cast<double>(b.bought);
     });
   };
@@ -229,7 +229,7 @@
   const auto index = static_cast<std::uint32_t>(victim - hosts_.begin());
   for (auto next = open_.begin(); next != open_.end();) {
     if (next->first.first == index && next->second.granted)
-      books_[next->second.team].reserved -= next->second.bound;
+      tallies_[next->second.team].reserved -= next->second.bound;
     next = next->first.first == index ? open_.erase(next) : std::next(next);
   }
   ++victim->id.number;
@@ -238,7 +238,7 @@
       victim->id, data_centre_id{"dc-" + std::to_string(victim->data_centre)}, shape_.ledger,
       random_());
   for (std::size_t t = 0; t < teams_.size(); ++t)
-    victim->budgets->on_contract(now_, 0, teams_[t], books_[t].bought);
+    victim->budgets->on_contract(now_, 0, teams_[t], tallies_[t].bought);
   see_members();
   crash_loss loss;
   reference_.for_each([&](const delegation& d) {
@@ -269,7 +269,7 @@
 }
 
 void measured_fleet::reset_counts() {
-  ours_ = {};
+  delegated_ = {};
   static_ = {};
   central_ = {};
 }
--- a/bench/faults/measured_fleet.hpp
+++ b/bench/faults/measured_fleet.hpp
@@ -52,7 +52,7 @@
   /// \brief Kills the host that holds most slices and runs on until its epochs are reclaimed.
   crash_loss crash_busiest();
 
-  [[nodiscard]] const request_counts& ours() const noexcept { return ours_; }
+  [[nodiscard]] const request_counts& delegated() const noexcept { return delegated_; }
   [[nodiscard]] const request_counts& static_shares() const noexcept { return static_; }
   [[nodiscard]] const request_counts& central() const noexcept { return central_; }
   [[nodiscard]] std::uint64_t appends() const noexcept { return log_.size(); }
@@ -78,20 +78,20 @@
     bool granted{};
   };
   /// The naive ledger, and the state of the two simple policies.
-  struct books {
+  struct team_tally {
     token_count bought{};
     token_count spent{};
     token_count reserved{};
     std::vector<token_count> static_left; ///< by host
     token_count central_left{};
   };
-  struct on_its_way {
+  struct in_flight_message {
     incarnation from;
     outgoing_message message;
   };
 
   void round();
-  void arrive();
+  void start_requests();
   void end_requests();
   void decide(std::uint32_t host, const budget_decision& decision);
   void collect(std::uint32_t host);
@@ -99,8 +99,8 @@
   [[nodiscard]] bool connected(std::uint32_t a, std::uint32_t b) const;
   [[nodiscard]] std::uint32_t index_of(const incarnation& host) const;
   [[nodiscard]] std::uint32_t draw_host();
-  [[nodiscard]] static bool is_counted(const books& b);
-  void ask_simple_policies(const open_request& r, bool covered);
+  [[nodiscard]] static bool is_counted(const team_tally& b);
+  void count_baselines(const open_request& r, bool covered);
 
   fleet_shape shape_;
   random_source random_;
@@ -108,14 +108,14 @@
   std::uint32_t cut_{none};
   std::vector<fleet_host> hosts_;
   std::vector<team_id> teams_;
-  std::vector<books> books_;
-  std::vector<on_its_way> network_;
+  std::vector<team_tally> tallies_;
+  std::vector<in_flight_message> network_;
   std::vector<ledger_record> appends_;
   std::vector<ledger_record> log_;
   ledger_state reference_;
   std::map<std::pair<std::uint32_t, ticket_number>, open_request> open_;
   std::multimap<time_ms, std::pair<std::uint32_t, ticket_number>> ends_;
-  request_counts ours_;
+  request_counts delegated_;
   request_counts static_;
   request_counts central_;
   std::uint64_t messages_{};
--- a/bench/faults/figures.cpp
+++ b/bench/faults/measurements.cpp
@@ -1,4 +1,4 @@
-#include "figures.hpp"
+#include "measurements.hpp"
 
 #include "measured_fleet.hpp"
 #include "wire/impl/ledger_codec.hpp"
@@ -14,10 +14,10 @@
 
 namespace {
 
-using wall = std::chrono::steady_clock;
+using steady_clock = std::chrono::steady_clock;
 
-double ns_since(wall::time_point start) {
-  return std::chrono::duration<double, std::nano>(wall::now() - start).count();
+double ns_since(steady_clock::time_point start) {
+  return std::chrono::duration<double, std::nano>(steady_clock::now() - start).count();
 }
 
 // Two hosts, one holding a slice with the other as witness; every request is made at the holder.
@@ -67,7 +67,7 @@
     tickets.clear();
     for (int i = 0; i < batch; ++i)
       keys.emplace_back("request-" + std::to_string(next + i));
-    auto start = wall::now();
+    auto start = steady_clock::now();
     for (const request_id& key : keys) {
       const budget_decision d = holder.reserve(now, {team, key, 800, std::nullopt});
       if (d.outcome == budget_outcome::granted)
@@ -75,7 +75,7 @@
     }
     if (tickets.size() == keys.size())
       reserving += ns_since(start);
-    start = wall::now();
+    start = steady_clock::now();
     for (const ticket_number ticket : tickets)
       holder.settle(now, ticket, 300);
     if (tickets.size() == keys.size()) {
@@ -116,10 +116,10 @@
     used.epochs.push_back({offset, 1, 700, 0, 0, 0, i % 100 != 0, {}});
     state.on_record(++offset, {id, std::move(used)});
   }
-  auto start = wall::now();
+  auto start = steady_clock::now();
   const std::string bytes = to_wire(state.snapshot()).SerializeAsString();
   const double made_ms = ns_since(start) / 1e6;
-  start = wall::now();
+  start = steady_clock::now();
   wire::ledger_snapshot parsed;
   static_cast<void>(parsed.ParseFromString(bytes));
   ledger_state restored{{}};
@@ -130,15 +130,15 @@
   json += ",\"checkpoint_bytes\":" + std::to_string(bytes.size());
 }
 
-struct user_size {
+struct traffic_profile {
   const char* name;
   std::vector<double> data_centre_share;
 };
 
-fleet_shape shape_of(const user_size& user, double hours_bought, double rate_factor) {
+fleet_shape shape_of(const traffic_profile& profile, double hours_bought, double rate_factor) {
   constexpr double mean_used = 0.5 * 1100;
   fleet_shape shape;
-  shape.data_centre_share = user.data_centre_share;
+  shape.data_centre_share = profile.data_centre_share;
   // Ten teams, a few of them large.
   for (const double rate : {6.0, 4.0, 2.5, 1.0, 0.6, 0.4, 0.2, 0.1, 0.05, 0.02}) {
     const double bought = rate * mean_used * 3600 * hours_bought;
@@ -152,81 +152,82 @@
 }
 
 struct partition_rates {
-  double ours{};
+  double delegated{};
   double static_shares{};
   double central{};
 };
 
 /// Ten minutes of traffic, then an hour with one data centre cut off, for each in turn.
-partition_rates partition_hour(const user_size& user, double hours_bought, std::uint64_t seed) {
-  request_counts ours;
+partition_rates partition_hour(const traffic_profile& profile, double hours_bought,
+                               std::uint64_t seed) {
+  request_counts delegated;
   request_counts fixed;
   request_counts central;
   const auto add = [](request_counts& sum, const request_counts& more) {
     sum.asked += more.asked;
     sum.refused_falsely += more.refused_falsely;
   };
-  for (std::uint32_t cut = 0; cut < user.data_centre_share.size(); ++cut) {
-    measured_fleet fleet{shape_of(user, hours_bought, 1), seed + cut};
+  for (std::uint32_t cut = 0; cut < profile.data_centre_share.size(); ++cut) {
+    measured_fleet fleet{shape_of(profile, hours_bought, 1), seed + cut};
     fleet.run(time_ms{600000});
     fleet.reset_counts();
     fleet.cut(cut);
     fleet.run(time_ms{3600000});
-    add(ours, fleet.ours());
+    add(delegated, fleet.delegated());
     add(fixed, fleet.static_shares());
     add(central, fleet.central());
   }
-  return {share(ours.refused_falsely, ours.asked), share(fixed.refused_falsely, fixed.asked),
-          share(central.refused_falsely, central.asked)};
+  return {share(delegated.refused_falsely, delegated.asked),
+          share(fixed.refused_falsely, fixed.asked), share(central.refused_falsely, central.asked)};
 }
 
-void print_user(const user_size& user, std::uint64_t seed, std::string& json) {
+void print_profile(const traffic_profile& profile, std::uint64_t seed, std::string& json) {
   const auto number = [&](const std::string& name, double value) {
-    std::printf("%s %s: %.6g\n", user.name, name.c_str(), value);
+    std::printf("%s %s: %.6g\n", profile.name, name.c_str(), value);
     char text[160];
-    std::snprintf(text, sizeof text, ",\"%s_%s\":%.6g", user.name, name.c_str(), value);
+    std::snprintf(text, sizeof text, ",\"%s_%s\":%.6g", profile.name, name.c_str(), value);
     json += text;
   };
   for (const time_ms round : {time_ms{10}, time_ms{60}}) {
-    fleet_shape shape = shape_of(user, 0.2, 1);
+    fleet_shape shape = shape_of(profile, 0.2, 1);
     shape.round = round;
-    measured_fleet quiet{shape, seed};
-    quiet.run_until_spent(0.999, time_ms{3600000});
+    measured_fleet fault_free{shape, seed};
+    fault_free.run_until_spent(0.999, time_ms{3600000});
     const std::string suffix = "_rounds_of_" + std::to_string(round.count()) + "_ms";
     number("false_refusal_rate_no_faults" + suffix,
-           share(quiet.ours().refused_falsely, quiet.ours().asked));
+           share(fault_free.delegated().refused_falsely, fault_free.delegated().asked));
     number("false_refusal_rate_no_faults_static" + suffix,
-           share(quiet.static_shares().refused_falsely, quiet.static_shares().asked));
+           share(fault_free.static_shares().refused_falsely, fault_free.static_shares().asked));
   }
   for (const double hours : {1.5, 4.0, 24.0}) {
-    const partition_rates rates = partition_hour(user, hours, seed);
+    const partition_rates rates = partition_hour(profile, hours, seed);
     const std::string suffix =
         "_budget_of_" + std::to_string(static_cast<int>(hours * 10)) + "_tenth_h";
-    number("false_refusal_rate_partition" + suffix, rates.ours);
+    number("false_refusal_rate_partition" + suffix, rates.delegated);
     number("false_refusal_rate_partition_static" + suffix, rates.static_shares);
     number("false_refusal_rate_partition_central" + suffix, rates.central);
   }
-  measured_fleet crashing{shape_of(user, 24, 1), seed};
+  measured_fleet crashing{shape_of(profile, 24, 1), seed};
   crashing.run(time_ms{300000});
   const measured_fleet::crash_loss loss = crashing.crash_busiest();
   number("stranded_share", loss.stranded_share);
   number("stranded_share_without_witness", loss.without_witness);
   number("reclaimed_after_s", static_cast<double>(loss.reclaimed_after.count()) / 1000);
   for (const double factor : {1.0, 4.0}) {
-    measured_fleet fleet{shape_of(user, 24, factor), seed};
+    measured_fleet fleet{shape_of(profile, 24, factor), seed};
     fleet.run(time_ms{120000});
     const std::uint64_t appends = fleet.appends();
     const std::uint64_t messages = fleet.messages();
-    const std::uint64_t asked = fleet.ours().asked;
+    const std::uint64_t asked = fleet.delegated().asked;
     const std::uint64_t openings = fleet.chunk_openings();
     fleet.run(time_ms{300000});
     const std::string suffix = factor > 1 ? "_at_4x" : "";
-    number("requests_per_s" + suffix, static_cast<double>(fleet.ours().asked - asked) / 300);
+    number("requests_per_s" + suffix, static_cast<double>(fleet.delegated().asked - asked) / 300);
     number("records_per_s" + suffix, static_cast<double>(fleet.appends() - appends) / 300);
     number("chunk_openings_per_s" + suffix,
            static_cast<double>(fleet.chunk_openings() - openings) / 300);
     number("messages_per_request" + suffix,
-           share(fleet.messages() - messages, fleet.ours().asked - asked));
+           share(fleet.messages() - messages, fleet.delegated().asked - asked));
   }
 }
 
@@ -248,15 +249,15 @@
   }
   measured_fleet fleet{shape, seed};
   fleet.run(time_ms{90000});
-  const std::uint64_t asked = fleet.ours().asked;
+  const std::uint64_t asked = fleet.delegated().asked;
   const std::uint64_t appends = fleet.appends();
   const std::uint64_t messages = fleet.messages();
   const std::uint64_t bytes = fleet.message_bytes();
   const std::uint64_t openings = fleet.chunk_openings();
-  const auto start = wall::now();
+  const auto start = steady_clock::now();
   fleet.run(time_ms{static_cast<std::int64_t>(span_s * 1000)});
   const double cpu_us = ns_since(start) / 1000;
-  const auto requests = static_cast<double>(fleet.ours().asked - asked);
+  const auto requests = static_cast<double>(fleet.delegated().asked - asked);
   const auto number = [&](const char* name, double value) {
     std::printf("350 hosts %s: %.6g\n", name, value);
     char text[120];
@@ -264,7 +265,7 @@
     json += text;
   };
   number("requests_per_s", requests / span_s);
-  number("false_refusal_rate", share(fleet.ours().refused_falsely, fleet.ours().asked));
+  number("false_refusal_rate", share(fleet.delegated().refused_falsely, fleet.delegated().asked));
   number("records_per_s", static_cast<double>(fleet.appends() - appends) / span_s);
   number("chunk_openings_per_s", static_cast<double>(fleet.chunk_openings() - openings) / span_s);
   number("messages_per_request", static_cast<double>(fleet.messages() - messages) / requests);
@@ -275,7 +276,7 @@
 
 } // namespace
 
-int print_figures(std::uint64_t seed) {
+int print_measurements(std::uint64_t seed) {
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   const double idle = bytes_per_idle_budget();
   double settle = 0;
@@ -284,8 +285,8 @@
   std::printf("bytes per idle budget: %.1f\n", idle);
   std::string json;
   print_checkpoint(json);
-  print_user({"linsubrunnur", {0.5, 0.3, 0.2}}, seed, json);
-  print_user({"souq_sayarat", {0.4, 0.3, 0.2, 0.1}}, seed, json);
+  print_profile({"linsubrunnur", {0.5, 0.3, 0.2}}, seed, json);
+  print_profile({"souq_sayarat", {0.4, 0.3, 0.2, 0.1}}, seed, json);
   print_large_fleet(seed, json);
   std::printf("{\"reserve_ns\":%.0f,\"settle_ns\":%.0f,\"bytes_per_idle_budget\":%.1f%s}\n",
               reserve, settle, idle, json.c_str());
--- a/bench/faults/figures.hpp
+++ b/bench/faults/measurements.hpp
@@ -6,6 +6,6 @@
 
 /// \brief Measures costs and policies and prints one line a figure, then one JSON line.
 /// \returns the program's exit code
-int print_figures(std::uint64_t seed);
+int print_measurements(std::uint64_t seed);
 
 } // namespace sedgechute::ledger
--- a/bench/faults/schedule.cpp
+++ b/bench/faults/schedule.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::size_t least_steps = 100;
-constexpr std::uint64_t more_steps = 60;
+constexpr std::size_t min_steps = 100;
+constexpr std::uint64_t extra_steps = 60;
 constexpr std::uint64_t heal_one_in = 16;
 
 } // namespace
@@ -32,7 +32,7 @@
   s.model.ledger.idle_close = time_ms{5000};
   s.model.ledger.abandon_wait = time_ms{2000};
   s.model.ledger.fault = fault;
-  const std::size_t steps = least_steps + random.below(more_steps);
+  const std::size_t steps = min_steps + random.below(extra_steps);
   s.steps.reserve(steps);
   step_source source{random};
   for (std::size_t i = 0; i < steps; ++i)
--- a/tests/ledger/budget_fault_test.cpp
+++ b/tests/ledger/budget_fault_test.cpp
@@ -17,7 +17,7 @@
 }
 
 /// A fleet in which team 0 has spent 100 tokens from a slice of the returned host.
-std::uint32_t spend_some(fleet_model& fleet) {
+std::uint32_t spend_100_tokens(fleet_model& fleet) {
   run(fleet, 2);
   const std::size_t request = fleet.start_request(0, 0, 100);
   run(fleet, 12);
@@ -39,7 +39,7 @@
 // the rest and spends it. An hour later the holder wakes up with its slice as it left it.
 TEST_CASE("a holder that wakes after an hour cannot spend what others were granted") {
   fleet_model fleet{{}, 1};
-  const std::uint32_t holder = spend_some(fleet);
+  const std::uint32_t holder = spend_100_tokens(fleet);
   fleet.apply({step_kind::pause, holder, 0});
   fleet.see_all_members();
   run(fleet, 10);
@@ -65,7 +65,7 @@
 // shown; the rest of the budget is usable at once.
 TEST_CASE("a holder's death strands only what was open") {
   fleet_model fleet{{}, 1};
-  const std::uint32_t holder = spend_some(fleet);
+  const std::uint32_t holder = spend_100_tokens(fleet);
   fleet.apply({step_kind::crash, holder, 0});
   fleet.see_all_members();
   run(fleet, 10);
@@ -109,7 +109,7 @@
 TEST_CASE("a dead entry host's reservation is written off unless a retry takes it over") {
   for (const bool retried : {true, false}) {
     fleet_model fleet{{}, 1};
-    const std::uint32_t holder = spend_some(fleet);
+    const std::uint32_t holder = spend_100_tokens(fleet);
     const std::uint32_t entry = host_other_than(holder);
     const std::size_t request = fleet.start_request(entry, 0, 500);
     run(fleet, 12);
@@ -131,7 +131,7 @@
 // A planned stop: the holder returns its slice, and no token is written off or kept.
 TEST_CASE("a host that drains returns all that is free and closes its slices") {
   fleet_model fleet{{}, 1};
-  const std::uint32_t holder = spend_some(fleet);
+  const std::uint32_t holder = spend_100_tokens(fleet);
   fleet.apply({step_kind::drain, holder, 0});
   CHECK_FALSE(fleet.host(holder).drained());
   run(fleet, 10);
@@ -144,7 +144,7 @@
 // and what was free comes back.
 TEST_CASE("a reduced contract takes back what is unused and nothing else") {
   fleet_model fleet{{}, 1};
-  spend_some(fleet);
+  spend_100_tokens(fleet);
   fleet.set_contract(0, 50);
   run(fleet, 100);
   CHECK(fleet.totals(0).bought() == 100);
--- a/tests/ledger/fault_schedule_test.cpp
+++ b/tests/ledger/fault_schedule_test.cpp
@@ -37,10 +37,10 @@
 
 /// Any step, applied to the fleet; the naive ledger follows only the contracts. Whatever else
 /// happens, no more may be billed of a team than it ever bought at once.
-struct any_step : rc::state::Command<naive_ledger, fleet_model> {
+struct random_step : rc::state::Command<naive_ledger, fleet_model> {
   step next;
 
-  any_step() {
+  random_step() {
     // Half of the steps let work move on; the others are of any kind.
     constexpr std::array often{step_kind::run, step_kind::request, step_kind::settle,
                                step_kind::deliver};
@@ -83,7 +83,7 @@
     for (std::uint32_t team = 0; team < options.teams; ++team)
       naive.bought[team] = options.bought;
     fleet_model fleet{options, *rc::gen::arbitrary<std::uint64_t>()};
-    rc::state::check(naive, fleet, rc::state::gen::execOneOfWithArgs<any_step>());
+    rc::state::check(naive, fleet, rc::state::gen::execOneOfWithArgs<random_step>());
     fleet.heal_and_check();
     RC_ASSERT(fleet.found().first == std::string{});
   };
--- a/tests/ledger/fleet_model.cpp
+++ b/tests/ledger/fleet_model.cpp
@@ -20,7 +20,7 @@
   cuts_.resize(std::size_t{options.hosts} * options.hosts);
   for (std::uint32_t team = 0; team < options.teams; ++team) {
     teams_.emplace_back("team-" + std::to_string(team));
-    truths_.emplace_back();
+    expected_.emplace_back();
     set_contract(team, options.bought);
   }
   hosts_.resize(options.hosts);
@@ -45,7 +45,7 @@
 
 void fleet_model::set_contract(std::uint32_t team, token_count bought) {
   log_.push_back({std::nullopt, teams_[team], bought});
-  truths_[team].contract = bought;
+  expected_[team].contract = bought;
   reference_.on_contract(log_.size(), teams_[team], bought);
 }
 
@@ -71,12 +71,12 @@
   for (ledger_record& r : out.records)
     appends_.push_back(std::move(r));
   for (const budget_decision& d : out.decisions)
-    decided(index, d);
+    on_decision(index, d);
   for (const bill& made : out.bills) {
     claim& c = claims_[std::stoul(made.key.str())];
-    truths_[c.team].billed += made.tokens;
+    expected_[c.team].billed += made.tokens;
     billed_of_[made.epoch] += made.tokens;
-    truths_[c.team].unbilled -= std::exchange(c.consumed, 0);
+    expected_[c.team].unbilled -= std::exchange(c.consumed, 0);
     if (++c.bills > 1) {
       ++found_.double_billed;
       report("request " + made.key.str() + " was billed twice");
@@ -142,7 +142,7 @@
     report("a repeated record was applied twice");
   for (std::uint32_t team = 0; team < teams_.size(); ++team) {
     const token_count after = reference_.totals(reference_.find_team(teams_[team])).committed();
-    if (after > std::max(before[team], truths_[team].contract))
+    if (after > std::max(before[team], expected_[team].contract))
       report("a record committed more of " + teams_[team].str() + " than was bought");
   }
 }
@@ -173,11 +173,11 @@
 
 std::size_t fleet_model::start_request(std::uint32_t host, std::uint32_t team, token_count bound) {
   claims_.push_back({team, bound, std::nullopt, false, 0, {}, 0});
-  begin(host, static_cast<std::uint32_t>(claims_.size() - 1));
+  start_attempt(host, static_cast<std::uint32_t>(claims_.size() - 1));
   return requests_.size() - 1;
 }
 
-void fleet_model::begin(std::uint32_t host, std::uint32_t key) {
+void fleet_model::start_attempt(std::uint32_t host, std::uint32_t key) {
   const claim& c = claims_[key];
   running_request r;
   r.host = host;
@@ -191,11 +191,11 @@
   r.ticket = decision.ticket;
   requests_.push_back(r);
   if (decision.outcome != budget_outcome::pending)
-    decided(host, decision);
+    on_decision(host, decision);
   collect(host);
 }
 
-void fleet_model::decided(std::uint32_t host, const budget_decision& decision) {
+void fleet_model::on_decision(std::uint32_t host, const budget_decision& decision) {
   const auto found = std::find_if(requests_.begin(), requests_.end(), [&](const auto& r) {
     return r.entry == hosts_[host].id && r.ticket == decision.ticket && !r.over;
   });
@@ -270,7 +270,7 @@
     const token_count more = std::min(used.value_or(r.bound), r.bound) - c.consumed;
     if (c.bills == 0 && more > 0) {
       c.consumed += more;
-      truths_[r.team].unbilled += more;
+      expected_[r.team].unbilled += more;
     }
     return;
   }
--- a/tests/ledger/fleet_model.hpp
+++ b/tests/ledger/fleet_model.hpp
@@ -73,7 +73,7 @@
   random_source& random_;
   std::vector<std::uint32_t> weights_; ///< by kind
   std::uint32_t total_{};
-  bool tells_episodes_{};
+  bool uses_episodes_{};
   std::deque<step> episode_; ///< what is left of the one that was begun
 };
 
@@ -126,7 +126,7 @@
   void finish_request(std::size_t request, std::optional<token_count> used);
   void set_contract(std::uint32_t team, token_count bought);
   [[nodiscard]] budget_host& host(std::uint32_t index) { return *hosts_[index].budgets; }
-  [[nodiscard]] token_count billed(std::uint32_t team) const { return truths_[team].billed; }
+  [[nodiscard]] token_count billed(std::uint32_t team) const { return expected_[team].billed; }
   void collect(std::uint32_t index);
   [[nodiscard]] time_ms now() const noexcept { return now_; }
 
@@ -173,7 +173,7 @@
     token_count bought{};
   };
   /// One map and one number each: the naive ledger.
-  struct truth {
+  struct expected_sums {
     token_count contract{};
     token_count billed{};
     token_count unbilled{}; ///< consumed by requests that nobody could settle
@@ -201,8 +201,8 @@
   void advance_checkpoint();
   void finish_checkpoint();
   void see_members(std::uint32_t index);
-  void begin(std::uint32_t host, std::uint32_t key);
-  void decided(std::uint32_t host, const budget_decision& decision);
+  void start_attempt(std::uint32_t host, std::uint32_t key);
+  void on_decision(std::uint32_t host, const budget_decision& decision);
   void claim_key(std::uint32_t host, std::size_t request);
   void end_request(running_request& r, std::optional<token_count> used);
   [[nodiscard]] running_request* running(std::uint32_t choice);
@@ -210,7 +210,7 @@
   [[nodiscard]] std::optional<std::uint32_t> host_named(const host_id& name) const;
   void report(const std::string& what);
   void check_team(std::uint32_t team);
-  [[nodiscard]] bool runs_alone(const running_request& r) const;
+  [[nodiscard]] bool is_only_attempt(const running_request& r) const;
   void check_slice(const slice& s);
   void release(std::uint32_t choice);
   [[nodiscard]] token_count unproven(const delegation& d) const;
@@ -232,7 +232,7 @@
   std::set<record_id> applied_; ///< grants and releases
   ledger_state reference_;      ///< has read everything
   std::vector<team_id> teams_;
-  std::vector<truth> truths_;
+  std::vector<expected_sums> expected_;
   std::vector<claim> claims_;
   std::vector<running_request> requests_;
   std::map<epoch_number, token_count> billed_of_; ///< by epoch
--- a/tests/ledger/fleet_steps.cpp
+++ b/tests/ledger/fleet_steps.cpp
@@ -82,7 +82,7 @@
   case step_kind::retry:
     if (const std::size_t key = claims_.empty() ? 0 : s.b % claims_.size();
         !claims_.empty() && !claims_[key].finished && !h.paused && !h.draining)
-      begin(index, static_cast<std::uint32_t>(key));
+      start_attempt(index, static_cast<std::uint32_t>(key));
     break;
   case step_kind::settle:
     if (running_request* const r = running(s.b))
@@ -93,7 +93,7 @@
       end_request(*r, std::nullopt);
     break;
   case step_kind::shrink:
-    if (running_request* const r = running(s.b); r != nullptr && runs_alone(*r)) {
+    if (running_request* const r = running(s.b); r != nullptr && is_only_attempt(*r)) {
       r->bound = static_cast<token_count>(s.a) % (r->bound + 1);
       hosts_[r->host].budgets->shrink(now_, r->ticket, r->bound);
       collect(r->host);
@@ -107,10 +107,10 @@
     }
     break;
   case step_kind::top_up:
-    set_contract(s.b % options_.teams, truths_[s.b % options_.teams].contract + 1 + s.a % 2000);
+    set_contract(s.b % options_.teams, expected_[s.b % options_.teams].contract + 1 + s.a % 2000);
     break;
   case step_kind::reduce_contract:
-    set_contract(s.b % options_.teams, truths_[s.b % options_.teams].contract * (s.a % 4) / 4);
+    set_contract(s.b % options_.teams, expected_[s.b % options_.teams].contract * (s.a % 4) / 4);
     break;
   case step_kind::crash:
     start_host(index);
@@ -161,7 +161,7 @@
 }
 
 // A shared reservation must not shrink below what an attempt of a dead entry host may have used.
-bool fleet_model::runs_alone(const running_request& r) const {
+bool fleet_model::is_only_attempt(const running_request& r) const {
   const auto same_key = [&](const running_request& other) { return other.key == r.key; };
   return hosts_[r.host].id == r.entry && claims_[r.key].consumed == 0 &&
          std::count_if(requests_.begin(), requests_.end(), same_key) == 1;
@@ -229,7 +229,7 @@
 void fleet_model::check_team(std::uint32_t team) {
   const name_index known = reference_.find_team(teams_[team]);
   const team_totals totals = reference_.totals(known);
-  const truth& t = truths_[team];
+  const expected_sums& t = expected_[team];
   if (totals.spent < 0 || totals.outstanding < 0 || totals.written_off < 0 || totals.pool() < 0)
     report("a sum of " + teams_[team].str() + " is negative");
   token_count outstanding = 0;
--- a/tests/ledger/late_record_test.cpp
+++ b/tests/ledger/late_record_test.cpp
@@ -18,12 +18,12 @@
 struct log_fixture {
   log_fixture() { state.on_contract(++end, team, 2000); }
 
-  record_verdict take(record_body body) {
+  record_verdict apply(record_body body) {
     ++end;
     return state.on_record(end, {{end, end}, std::move(body)});
   }
   epoch_number grant_to(const incarnation& host, token_count tokens) {
-    REQUIRE(take(grant{team, 0, host, witness, data_centre_id{"dc"}, tokens, 0, end}) ==
+    REQUIRE(apply(grant{team, 0, host, witness, data_centre_id{"dc"}, tokens, 0, end}) ==
             record_verdict::applied);
     return end;
   }
@@ -47,9 +47,9 @@
   const epoch_number sender = log.grant_to(holder, 1000);
   const epoch_number receiver = log.grant_to(other, 500);
   const token_count committed = log.totals().committed();
-  REQUIRE(log.take(report{{{.epoch = sender, .version = 1, .lost = 900}}}) ==
+  REQUIRE(log.apply(report{{{.epoch = sender, .version = 1, .lost = 900}}}) ==
           record_verdict::applied);
-  REQUIRE(log.take(report{{{.epoch = receiver, .version = 1, .received = {{sender, 1, 600}}}}}) ==
+  REQUIRE(log.apply(report{{{.epoch = receiver, .version = 1, .received = {{sender, 1, 600}}}}}) ==
           record_verdict::applied);
   CHECK(log.state.find(sender)->remainder() == 400);
   CHECK(log.state.find(sender)->outstanding() >= 0);
@@ -69,11 +69,11 @@
 TEST_CASE("tokens that were released are not given back once more by a late report") {
   log_fixture log;
   const epoch_number epoch = log.grant_to(holder, 1000);
-  REQUIRE(log.take(reclaim_batch{{{epoch, 0, 1000}}}) == record_verdict::applied);
-  REQUIRE(log.take(release{team, epoch, 500, 1000, release_proof::usage_statement, "records",
-                           log.end}) == record_verdict::applied);
+  REQUIRE(log.apply(reclaim_batch{{{epoch, 0, 1000}}}) == record_verdict::applied);
+  REQUIRE(log.apply(release{team, epoch, 500, 1000, release_proof::usage_statement, "records",
+                            log.end}) == record_verdict::applied);
   REQUIRE(log.totals().committed() == 500);
-  (void)log.take(report{{{.epoch = epoch, .version = 1, .spent = 100, .returned = 300}}});
+  (void)log.apply(report{{{.epoch = epoch, .version = 1, .spent = 100, .returned = 300}}});
   CHECK(log.totals().committed() >= 500);
   CHECK(first_finding(30246028) == "");
 }
--- a/tests/ledger/step_source.cpp
+++ b/tests/ledger/step_source.cpp
@@ -34,12 +34,12 @@
                              weighted_kind{release, 2},      weighted_kind{drain, 1},
                              weighted_kind{long_wait, 1}};
 
-constexpr std::uint32_t favoured = 5;
+constexpr std::uint32_t favoured_factor = 5;
 
 // Half of the schedules tell episodes, with an odd step between two of theirs now and then.
 constexpr std::uint64_t without_episodes_one_in = 2;
 constexpr std::uint64_t episode_one_in = 20;
-constexpr std::uint64_t odd_step_one_in = 10;
+constexpr std::uint64_t random_step_one_in = 10;
 
 /// Whom a step of an episode concerns.
 enum class actor {
@@ -53,12 +53,12 @@
   step_kind kind;
   actor who{actor::any};
   std::uint32_t times{1};
-  bool ends{}; ///< a cut ends
+  bool ends_cut{}; ///< a cut ends
 };
 
 // Both hosts that know what is open of a budget are away. The others write it off and an operator
 // releases what he can prove; then the witness is back and has read nothing of that.
-constexpr std::array lost_and_back{
+constexpr std::array witness_back_after_release{
     episode_step{request, actor::first, 2},   episode_step{run, actor::any, 3},
     episode_step{settle, actor::any, 2},      episode_step{pause, actor::second},
     episode_step{crash, actor::first},        episode_step{see_members, actor::each, 6},
@@ -69,33 +69,34 @@
 
 // Two sides of a cut each ask for a part of a budget, and one of the askers does not hear from the
 // log what it was given. The other one meets it again and sends it tokens.
-constexpr std::array given_unheard{episode_step{run},
-                                   episode_step{cut_data_centre, actor::first},
-                                   episode_step{see_members, actor::each, 6},
-                                   episode_step{cut_log, actor::second},
-                                   episode_step{request, actor::each, 4},
-                                   episode_step{run, actor::any, 4},
-                                   episode_step{cut_data_centre, actor::first, 1, true},
-                                   episode_step{see_members, actor::each, 6},
-                                   episode_step{pass_time, actor::any, 3},
-                                   episode_step{copy_late, actor::any, 3},
-                                   episode_step{run, actor::any, 2},
-                                   episode_step{cut_log, actor::second},
-                                   episode_step{read, actor::second, 3},
-                                   episode_step{late_message, actor::any, 3}};
+constexpr std::array transfer_before_grant_read{
+    episode_step{run},
+    episode_step{cut_data_centre, actor::first},
+    episode_step{see_members, actor::each, 6},
+    episode_step{cut_log, actor::second},
+    episode_step{request, actor::each, 4},
+    episode_step{run, actor::any, 4},
+    episode_step{cut_data_centre, actor::first, 1, true},
+    episode_step{see_members, actor::each, 6},
+    episode_step{pass_time, actor::any, 3},
+    episode_step{copy_late, actor::any, 3},
+    episode_step{run, actor::any, 2},
+    episode_step{cut_log, actor::second},
+    episode_step{read, actor::second, 3},
+    episode_step{late_message, actor::any, 3}};
 
 // A request is asked for, runs and is billed while copies of its messages are held up, until long
 // after nobody remembers it.
-constexpr std::array copies_after_all{episode_step{request, actor::first},
-                                      episode_step{copy_late, actor::any, 3},
-                                      episode_step{run},
-                                      episode_step{settle},
-                                      episode_step{copy_late, actor::any, 2},
-                                      episode_step{long_wait, actor::second},
-                                      episode_step{late_message, actor::any, 4}};
+constexpr std::array copies_after_settlement{episode_step{request, actor::first},
+                                             episode_step{copy_late, actor::any, 3},
+                                             episode_step{run},
+                                             episode_step{settle},
+                                             episode_step{copy_late, actor::any, 2},
+                                             episode_step{long_wait, actor::second},
+                                             episode_step{late_message, actor::any, 4}};
 
-constexpr std::array<std::span<const episode_step>, 3> episodes{lost_and_back, given_unheard,
-                                                                copies_after_all};
+constexpr std::array<std::span<const episode_step>, 3> episodes{
+    witness_back_after_release, transfer_before_grant_read, copies_after_settlement};
 
 } // namespace
 
@@ -107,20 +108,20 @@
     if (drawn < 2 && !needed)
       weight = 0;
     else if (drawn > 7)
-      weight *= favoured;
+      weight *= favoured_factor;
     weights_.push_back(weight);
     total_ += weight;
   }
-  tells_episodes_ = random_.below(without_episodes_one_in) != 0;
+  uses_episodes_ = random_.below(without_episodes_one_in) != 0;
 }
 
 step step_source::next() {
-  if (!episode_.empty() && random_.below(odd_step_one_in) != 0) {
+  if (!episode_.empty() && random_.below(random_step_one_in) != 0) {
     const step next = episode_.front();
     episode_.pop_front();
     return next;
   }
-  if (tells_episodes_ && episode_.empty() && random_.below(episode_one_in) == 0)
+  if (uses_episodes_ && episode_.empty() && random_.below(episode_one_in) == 0)
     begin_episode();
   return single();
 }
@@ -139,17 +140,17 @@
   const auto draw = [&] { return static_cast<std::uint32_t>(random_()); };
   const std::uint32_t first = draw();
   const std::uint32_t second = draw();
-  for (const episode_step& told : episodes[random_.below(episodes.size())])
-    for (std::uint32_t i = 0; i < told.times; ++i) {
-      step made{told.kind, draw(), draw()};
-      if (told.who == actor::first)
+  for (const episode_step& planned : episodes[random_.below(episodes.size())])
+    for (std::uint32_t i = 0; i < planned.times; ++i) {
+      step made{planned.kind, draw(), draw()};
+      if (planned.who == actor::first)
         made.a = first;
-      else if (told.who == actor::second)
+      else if (planned.who == actor::second)
         made.a = second;
-      else if (told.who == actor::each)
+      else if (planned.who == actor::each)
         made.a = i;
-      if (told.kind == cut_data_centre)
-        made.b = told.ends ? 1 : 0;
+      if (planned.kind == cut_data_centre)
+        made.b = planned.ends_cut ? 1 : 0;
       episode_.push_back(made);
     }
 }
