--- a/bench/faults/main.cpp
+++ b/bench/faults/main.cpp
@@ -1,5 +1,5 @@
-// sedgechute-faults: runs random schedules of faults against several hosts' budgets and checks
-// after every step that no team can overspend and no request is billed twice.
+// sedgechute-faults: runs random schedules of faults on a model fleet and checks after every step
+// that no team can overspend and no request is billed twice.
 
 #include "measurements.hpp"
 #include "schedule.hpp"
@@ -11,9 +11,9 @@
 #include <cstdio>
 #include <iostream>
 
-ABSL_FLAG(std::uint64_t, schedules, 10000, "how many schedules to run");
-ABSL_FLAG(std::uint64_t, seed, 1, "seed of the first schedule; the next ones follow");
-ABSL_FLAG(bool, mutations, false, "show that each deliberate fault in the logic is noticed");
+ABSL_FLAG(std::uint64_t, schedules, 10000, "number of schedules to run");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of the first schedule; the others use the seeds after it");
+ABSL_FLAG(bool, mutations, false, "check that the schedules detect each mutation of the ledger");
 ABSL_FLAG(bool, figures, false, "measure costs, memory and policies instead");
 
 namespace sedgechute::ledger {
@@ -65,7 +65,8 @@
   return sum.failed == 0 ? 0 : 1;
 }
 
-/// \returns the seed of the first schedule that is wrong with the mutation alone, or 0.
+/// \returns the seed of the first schedule that fails with the mutation and passes without it, or
+/// 0.
 std::uint64_t find_detecting_seed(mutation fault, std::uint64_t count, std::uint64_t seed) {
   for (std::uint64_t i = 0; i < count; ++i) {
     const bool noticed = !run_schedule(make_schedule(seed + i, fault)).clean();
--- a/bench/faults/measured_fleet.cpp
+++ b/bench/faults/measured_fleet.cpp
@@ -73,7 +73,7 @@
   }
   for (outgoing_message& m : out.messages)
     network_.push_back({hosts_[host].id, std::move(m)});
-  // A host that is cut off from the log repeats its records later.
+  // A host that is disconnected from the log loses the append; it repeats it later.
   if (hosts_[host].data_centre != cut_)
     std::move(out.records.begin(), out.records.end(), std::back_inserter(appends_));
   for (const budget_decision& d : out.decisions)
@@ -119,7 +119,7 @@
   }
 }
 
-// Both simple policies are judged by the same question: did the budget as a whole cover it?
+// A refusal counts as false for each policy if the team's whole budget covered the request.
 void measured_fleet::count_baselines(const open_request& r, bool covered) {
   team_tally& b = tallies_[r.team];
   const auto count = [&](request_counts& counts, bool granted) {
@@ -137,7 +137,7 @@
     b.central_left -= r.used;
 }
 
-// The last thousandth of a budget is not counted.
+// Refusals in the last thousandth of a budget do not count as false.
 bool measured_fleet::is_counted(const team_tally& b) {
   return b.spent < b.bought - b.bought / 1000;
 }
--- a/bench/faults/measured_fleet.hpp
+++ b/bench/faults/measured_fleet.hpp
@@ -14,23 +14,24 @@
   token_count bought{};
 };
 
+/// \brief Size, traffic and ledger options of a fleet.
 struct fleet_shape {
   std::uint32_t hosts{9};
   std::vector<double> data_centre_share; ///< of the traffic
   std::vector<team_demand> teams;
   ledger_options ledger;
-  time_ms round{60}; ///< in which a message or a record arrives
+  time_ms round{60}; ///< time in which a message or a record arrives
 };
 
-/// \brief What one policy did with the requests of a run.
+/// \brief Requests of a run by their outcome under one policy.
 struct request_counts {
   std::uint64_t asked{};
-  std::uint64_t refused_falsely{}; ///< though the team's budget covered them
+  std::uint64_t refused_falsely{}; ///< refused although the team's budget covered them
   std::uint64_t refused{};
 };
 
-/// \brief A fleet of budget hosts under steady traffic, with rounds for messages and log, and
-/// beside it two simple policies for the same requests: equal static shares per host, and a
+/// \brief A fleet of budget hosts under steady traffic, with rounds for messages and log. Compares
+/// it on the same requests with two baseline policies: equal static shares per host, and a central
 /// counter on one host.
 class measured_fleet {
  public:
@@ -40,16 +41,16 @@
   void run(time_ms span);
   /// \brief Runs until the share of the budgets is spent, at most for a span.
   void run_until_spent(double share, time_ms most);
-  /// \brief Cuts a data centre off from the others and the log, or `none` for no cut.
+  /// \brief Disconnects a data centre from the others and the log; `none` ends the partition.
   void cut(std::uint32_t data_centre);
   static constexpr std::uint32_t none = ~std::uint32_t{0};
 
   struct crash_loss {
-    double stranded_share{};  ///< of the budgets that the host held, the worst
-    double without_witness{}; ///< the same if nobody knew what was opened
+    double stranded_share{};  ///< largest written-off share of a budget that the host held
+    double without_witness{}; ///< the same without a witness that knows the opened amount
     time_ms reclaimed_after;
   };
-  /// \brief Kills the host that holds most slices and runs on until its epochs are reclaimed.
+  /// \brief Crashes the host that holds most slices and runs until its epochs are reclaimed.
   crash_loss crash_busiest();
 
   [[nodiscard]] const request_counts& delegated() const noexcept { return delegated_; }
@@ -77,7 +78,7 @@
     time_ms ends;
     bool granted{};
   };
-  /// The naive ledger, and the state of the two simple policies.
+  /// Expected sums of one team, and its state under the two baseline policies.
   struct team_tally {
     token_count bought{};
     token_count spent{};
@@ -123,7 +124,7 @@
   std::uint64_t chunk_openings_{};
   std::map<host_id, std::uint32_t> indices_;
   std::uint64_t next_key_{};
-  std::vector<double> due_; ///< requests due by team
+  std::vector<double> due_; ///< fractional requests due, by team
 };
 
 } // namespace sedgechute::ledger
--- a/bench/faults/measurements.cpp
+++ b/bench/faults/measurements.cpp
@@ -20,7 +20,8 @@
   return std::chrono::duration<double, std::nano>(steady_clock::now() - start).count();
 }
 
-// Two hosts, one holding a slice with the other as witness; every request is made at the holder.
+// Time per `reserve` and `settle`, with two hosts, a holder and its witness, and all requests made
+// on the holder.
 double reserve_ns(double& settle_ns) {
   constexpr int requests = 400000;
   constexpr int batch = 500;
@@ -98,7 +99,7 @@
   return static_cast<double>(after - before) / budgets;
 }
 
-/// Cost of a checkpoint of 220,000 budgets in which a tenth have been used.
+/// Size and time of a checkpoint of 220,000 budgets, a tenth of them used.
 void print_checkpoint(std::string& json) {
   constexpr int budgets = 220000;
   ledger_state state{{}};
@@ -139,7 +140,7 @@
   constexpr double mean_used = 0.5 * 1100;
   fleet_shape shape;
   shape.data_centre_share = profile.data_centre_share;
-  // Ten teams, a few of them large.
+  // Ten teams, a few of them with most of the traffic.
   for (const double rate : {6.0, 4.0, 2.5, 1.0, 0.6, 0.4, 0.2, 0.1, 0.05, 0.02}) {
     const double bought = rate * mean_used * 3600 * hours_bought;
     shape.teams.push_back({rate * rate_factor, static_cast<token_count>(bought * rate_factor)});
@@ -157,7 +158,8 @@
   double central{};
 };
 
-/// Ten minutes of traffic, then an hour with one data centre cut off, for each in turn.
+/// False refusals in an hour with one data centre disconnected, after ten minutes of traffic;
+/// summed over a run for each data centre.
 partition_rates partition_hour(const traffic_profile& profile, double hours_bought,
                                std::uint64_t seed) {
   request_counts delegated;
@@ -231,8 +233,8 @@
   }
 }
 
-/// The size expected within two years, but for the idle budgets: 350 hosts in 5 data centres, 830
-/// teams of which a few are large, 5,100 requests a second.
+/// Measures the fleet expected within two years, without its idle budgets: 350 hosts in 5 data
+/// centres, 830 teams of which a few are large, 5,100 requests a second.
 void print_large_fleet(std::uint64_t seed, std::string& json) {
   constexpr int teams = 830;
   constexpr double requests_per_s = 5100;
--- a/bench/faults/measurements.hpp
+++ b/bench/faults/measurements.hpp
@@ -4,7 +4,7 @@
 
 namespace sedgechute::ledger {
 
-/// \brief Measures costs and policies and prints one line a figure, then one JSON line.
+/// \brief Measures costs and policies; prints a line per value, then all values as one JSON line.
 /// \returns the program's exit code
 int print_measurements(std::uint64_t seed);
 
--- a/bench/faults/schedule.hpp
+++ b/bench/faults/schedule.hpp
@@ -7,21 +7,21 @@
 
 namespace sedgechute::ledger {
 
-/// \brief Everything that happens in one run; replays from its seed.
+/// \brief Options and steps of one run, reproducible from its seed.
 struct schedule {
   std::uint64_t seed{};
-  bool heal{}; ///< whether all faults end at last and nothing may be left over
+  bool heal{}; ///< whether the run ends with `heal_and_check`
   model_options model;
   std::vector<step> steps;
 };
 
-/// \returns the schedule of a seed.
+/// \returns the schedule of a seed, with `fault` injected into the ledger.
 [[nodiscard]] schedule make_schedule(std::uint64_t seed, mutation fault);
 
-/// \returns what was wrong, at the first step that shows it.
+/// \returns the violations after the first step that has any, else after the whole schedule.
 [[nodiscard]] findings run_schedule(const schedule& s);
 
-/// \returns a schedule with fewer steps that is wrong too.
+/// \returns a schedule with as few steps as possible that still violates an invariant.
 [[nodiscard]] schedule shrink(schedule s);
 
 } // namespace sedgechute::ledger
--- a/tests/ledger/budget_fault_test.cpp
+++ b/tests/ledger/budget_fault_test.cpp
@@ -1,4 +1,4 @@
-// One story a fault. The random schedules mix them all.
+// One test per fault. The random schedules combine them.
 
 #include "fleet_model.hpp"
 
@@ -16,7 +16,8 @@
   CHECK(fleet.found().first == "");
 }
 
-/// A fleet in which team 0 has spent 100 tokens from a slice of the returned host.
+/// Spends 100 tokens of team 0.
+/// \returns the host that holds the slice they were spent from
 std::uint32_t spend_100_tokens(fleet_model& fleet) {
   run(fleet, 2);
   const std::size_t request = fleet.start_request(0, 0, 100);
@@ -34,10 +35,10 @@
 
 } // namespace
 
-// A team sees its whole budget usable again although the host that held it hangs. The holder is
-// paused, its witness seals the epoch and returns what it had not signed, another host is granted
-// the rest and spends it. An hour later the holder wakes up with its slice as it left it.
-TEST_CASE("a holder that wakes after an hour cannot spend what others were granted") {
+// A paused holder must not overspend when it resumes. While it is paused its witness seals the
+// epoch and returns the tokens that it had not signed, and another host is granted and spends them.
+// An hour later the holder resumes with its slice unchanged.
+TEST_CASE("a holder that resumes after an hour cannot spend tokens granted to others") {
   fleet_model fleet{{}, 1};
   const std::uint32_t holder = spend_100_tokens(fleet);
   fleet.apply({step_kind::pause, holder, 0});
@@ -61,9 +62,9 @@
   CHECK(fleet.totals(0).written_off == 0);
 }
 
-// The holder dies for good. What its witness signed and nobody reported stays written off and is
-// shown; the rest of the budget is usable at once.
-TEST_CASE("a holder's death strands only what was open") {
+// The holder crashes and does not come back. Tokens that its witness signed and no report covers
+// stay written off; the rest of the budget is usable at once.
+TEST_CASE("a crashed holder strands only its opened tokens") {
   fleet_model fleet{{}, 1};
   const std::uint32_t holder = spend_100_tokens(fleet);
   fleet.apply({step_kind::crash, holder, 0});
@@ -75,9 +76,9 @@
   CHECK(fleet.outcome(request) == budget_outcome::granted);
 }
 
-// The log is down for long. Requests go on from what was delegated, also when the data centre's
-// holder has less than a request needs: it gets tokens from the other holders directly.
-TEST_CASE("requests go on through a log outage and holders help one another") {
+// During a long log outage requests must still be served from delegated tokens, also if the data
+// centre's holder has less than a request needs: it gets tokens from the other holders directly.
+TEST_CASE("requests continue through a log outage and holders transfer tokens") {
   model_options options;
   options.hosts = 4;
   options.ledger.busy_requests = 1;
@@ -104,8 +105,8 @@
   CHECK(fleet.found().first == "");
 }
 
-// A caller's connection ends with its entry host in mid-request. Nobody knows what the run used:
-// the team is not billed, the bound is set aside and shown, and the caller's retry takes it over.
+// An entry host dies during a request, so its usage is unknown: the team must not be billed, the
+// bound is written off, and a retry by the caller takes the reservation over.
 TEST_CASE("a dead entry host's reservation is written off unless a retry takes it over") {
   for (const bool retried : {true, false}) {
     fleet_model fleet{{}, 1};
@@ -128,8 +129,8 @@
   }
 }
 
-// A planned stop: the holder returns its slice, and no token is written off or kept.
-TEST_CASE("a host that drains returns all that is free and closes its slices") {
+// In a planned stop the holder returns its slice, and no token stays written off or held.
+TEST_CASE("a host that drains returns its free tokens and closes its slices") {
   fleet_model fleet{{}, 1};
   const std::uint32_t holder = spend_100_tokens(fleet);
   fleet.apply({step_kind::drain, holder, 0});
@@ -140,9 +141,9 @@
   CHECK(fleet.totals(0).pool() == 3900);
 }
 
-// A contract is reduced below what is delegated. What is spent stays spent, nobody is granted more,
-// and what was free comes back.
-TEST_CASE("a reduced contract takes back what is unused and nothing else") {
+// A contract is reduced below the delegated amount. Spent tokens stay spent, no host is granted
+// more, and free tokens return to the pool.
+TEST_CASE("a reduced contract takes back unused tokens only") {
   fleet_model fleet{{}, 1};
   spend_100_tokens(fleet);
   fleet.set_contract(0, 50);
--- a/tests/ledger/budget_flow_test.cpp
+++ b/tests/ledger/budget_flow_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("a request is reserved, billed once and shown") {
+TEST_CASE("a request is reserved, billed once and described") {
   fleet_model fleet{{}, 1};
   run(fleet, 2);
   const std::size_t request = fleet.start_request(0, 0, 100);
@@ -31,7 +31,7 @@
   CHECK(shown->bought == 4000);
 }
 
-TEST_CASE("without faults every token can be spent and not one more") {
+TEST_CASE("without faults all bought tokens can be spent and no more") {
   fleet_model fleet{{}, 1};
   int granted = 0;
   for (std::uint32_t i = 0; i < 60; ++i) {
--- a/tests/ledger/fault_schedule_test.cpp
+++ b/tests/ledger/fault_schedule_test.cpp
@@ -1,4 +1,4 @@
-// Random schedules of faults, by RapidCheck's stateful testing against a naive ledger.
+// Random schedules of faults, checked against a naive ledger by RapidCheck's stateful testing.
 
 #include "fleet_model.hpp"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// The naive version: one host, one map, one number a team, no faults.
+/// Reference model: one host without faults, with the tokens bought by each team.
 struct naive_ledger {
   std::map<std::uint32_t, token_count> bought;
 };
@@ -35,13 +35,13 @@
   return options;
 }
 
-/// Any step, applied to the fleet; the naive ledger follows only the contracts. Whatever else
-/// happens, no more may be billed of a team than it ever bought at once.
+/// A random step of the fleet; the naive ledger applies only the contracts. The tokens billed to a
+/// team must never exceed the most that it has bought.
 struct random_step : rc::state::Command<naive_ledger, fleet_model> {
   step next;
 
   random_step() {
-    // Half of the steps let work move on; the others are of any kind.
+    // Half of the steps make progress without faults; the others are of any kind.
     constexpr std::array often{step_kind::run, step_kind::request, step_kind::settle,
                                step_kind::deliver};
     const auto kinds = enum_names<step_kind>::entries.size();
@@ -97,8 +97,8 @@
   }
 }
 
-// Without faults the fleet decides as one host with one number would: it grants what that number
-// covers, wherever the request arrives, and refuses what it does not.
+// Without faults the fleet must decide like a single host: it grants a request if the remaining
+// budget covers it, on whichever host it arrives, and refuses it otherwise.
 TEST_CASE("without faults the fleet decides as the naive ledger does") {
   const auto property = [] {
     model_options options = small_fleet();
--- a/tests/ledger/fleet_checkpoints.cpp
+++ b/tests/ledger/fleet_checkpoints.cpp
@@ -1,5 +1,5 @@
-// Checkpoints of the fleet model: given and restored part by part while everything else goes on,
-// and compared with the whole state at the moment of the cut.
+// Checkpoints of the fleet model: read and restored part by part between other steps, and compared
+// with the snapshot taken when the cut was opened.
 
 #include "fleet_model.hpp"
 
@@ -17,7 +17,7 @@
     return;
   fake_host& h = hosts_[open_checkpoint_->host];
   if (h.id != open_checkpoint_->giver)
-    return open_checkpoint_.reset(); // it crashed, and the checkpoint is never whole
+    return open_checkpoint_.reset(); // the host crashed, so the checkpoint stays incomplete
   if (h.paused)
     return;
   if (auto part = h.budgets->next_part(open_checkpoint_->cut, 1))
@@ -36,10 +36,10 @@
       restored.restore_part(part);
     restored.finish_restore();
   } catch (const error& failure) {
-    return report(std::string{"parts of a checkpoint do not fit: "} + failure.what());
+    return report(std::string{"parts of a checkpoint cannot be restored: "} + failure.what());
   }
   if (restored.digest() != done.whole.digest || restored.offset() != done.whole.offset)
-    return report("parts of a checkpoint differ from the whole state at the cut");
+    return report("parts of a checkpoint differ from the snapshot at the cut");
   if (checkpoint_.empty() || checkpoint_.front().offset <= done.whole.offset)
     checkpoint_ = done.parts;
 }
--- a/tests/ledger/fleet_model.cpp
+++ b/tests/ledger/fleet_model.cpp
@@ -102,8 +102,8 @@
   collect(to);
 }
 
-// A copy that takes another way may come after all that was sent later, also after a wait beyond
-// every timeout. Rounds don't deliver it.
+// A delayed copy may arrive after all messages sent later, also after a wait beyond every timeout.
+// Rounds don't deliver it.
 void fleet_model::copy_late(std::size_t index) {
   late_messages_.push_back(network_[index]);
   deliver(index, false);
@@ -216,9 +216,9 @@
   claim_key(host, static_cast<std::size_t>(found - requests_.begin()));
 }
 
-// The reservation comes first, then the claim of the key, then the dispatch. A key whose answer is
-// complete is not run again. An attempt beside a running one is denied, or takes over from an entry
-// host that has died or was fenced, which then bills nothing.
+// The order is reservation, claim of the key, dispatch. A key whose answer is complete is not run
+// again. An attempt beside a running one is denied, or takes over from an entry host that has died
+// or was fenced, whose attempt is then not billed.
 void fleet_model::claim_key(std::uint32_t host, std::size_t request) {
   running_request& r = requests_[request];
   claim& c = claims_[r.key];
@@ -261,8 +261,8 @@
     see_members(i);
 }
 
-// A request whose entry host has died goes on consuming at its endpoint. It counts until an attempt
-// that took over is billed in its place.
+// A request whose entry host has died still consumes tokens at its endpoint. They count as unbilled
+// until an attempt that took over is billed instead.
 void fleet_model::end_request(running_request& r, std::optional<token_count> used) {
   claim& c = claims_[r.key];
   r.over = true;
--- a/tests/ledger/fleet_model.hpp
+++ b/tests/ledger/fleet_model.hpp
@@ -13,23 +13,23 @@
 
 namespace sedgechute::ledger {
 
-/// \brief What may happen next in a schedule. Each takes two numbers that choose among what there
-/// is at the time, so that a schedule stays valid when steps are taken out of it.
+/// \brief Kinds of steps in a schedule. Each step has two numbers that choose among the objects
+/// present at the time, so that a schedule stays valid when steps are removed from it.
 enum class step_kind : std::uint8_t {
   pass_time,     ///< the clock moves and one host ticks
-  run,           ///< a round in which everything that can move does
+  run,           ///< a round: deliver all messages, append all records, tick all hosts
   deliver,       ///< one message arrives, in any order
   drop,          ///< one message is lost
-  repeat,        ///< one message arrives and stays on its way
+  repeat,        ///< one message arrives and stays in flight
   append,        ///< one record is appended
-  lose_append,   ///< one record is lost on its way to the log
-  repeat_append, ///< one record is appended and stays on its way
-  copy_late,     ///< one message arrives, and a copy of it is held up beyond all rounds
-  hold_append,   ///< one record is held up beyond all rounds
-  late_message,  ///< a message that was held up arrives
-  late_append,   ///< a record that was held up is appended
+  lose_append,   ///< one record is lost before it reaches the log
+  repeat_append, ///< one record is appended and stays in flight
+  copy_late,     ///< one message arrives; a copy is delayed until a `late_message` step
+  hold_append,   ///< one record is delayed until a `late_append` step
+  late_message,  ///< a delayed message arrives
+  late_append,   ///< a delayed record is appended
   read,          ///< one host reads the log
-  see_members,   ///< one host learns who is alive
+  see_members,   ///< one host updates its list of live hosts
   request,       ///< a caller sends a request
   retry,         ///< a caller sends an unfinished request again, to any host
   settle,        ///< a running request ends
@@ -38,14 +38,14 @@
   withdraw,      ///< a reserved request is not dispatched
   top_up,
   reduce_contract,
-  crash,     ///< a host dies; its next life starts at once
-  pause,     ///< a host stops running, or goes on
-  cut_hosts, ///< two hosts lose each other, or meet again
+  crash,     ///< a host dies; its next incarnation starts at once
+  pause,     ///< pauses a host, or resumes a paused one
+  cut_hosts, ///< disconnects two hosts, or reconnects them
   cut_data_centre,
-  cut_log, ///< one host loses the log, or meets it again
+  cut_log, ///< disconnects one host from the log, or reconnects it
   log_outage,
   checkpoint,
-  trim,    ///< the log forgets what is before the newest checkpoint
+  trim,    ///< the log drops the records before the newest checkpoint
   release, ///< an operator proves which written-off tokens were not used
   drain,
   long_wait, ///< the clock moves past every timeout
@@ -57,10 +57,10 @@
   std::uint32_t b{};
 };
 
-/// \brief Draws steps; the frequent kinds let work move on between faults. Each source favours some
-/// kinds and never draws others, so that schedules differ more than if all drew alike. Every second
-/// one also tells episodes: steps of the same hosts that make sense one after the other, which
-/// single draws hardly ever bring together.
+/// \brief Draws random steps; the most frequent kinds make progress between faults. Each source
+/// favours some kinds and excludes others, so that schedules differ more than with equal weights.
+/// Half of the sources also insert episodes: fixed sequences of steps on the same hosts, which
+/// independent draws hardly ever produce.
 class step_source {
  public:
   explicit step_source(random_source& random);
@@ -74,17 +74,17 @@
   std::vector<std::uint32_t> weights_; ///< by kind
   std::uint32_t total_{};
   bool uses_episodes_{};
-  std::deque<step> episode_; ///< what is left of the one that was begun
+  std::deque<step> episode_; ///< remaining steps of the current episode
 };
 
 [[nodiscard]] std::string to_text(const step& s);
 
-/// \brief What one run of a schedule showed to be wrong.
+/// \brief Violations found in one run of a schedule.
 struct findings {
   token_count overspend_tokens{};
   std::uint64_t double_billed{};
   std::uint64_t unresolved{};
-  std::string first; ///< in words, empty if nothing is wrong
+  std::string first; ///< text of the first violation, empty if there is none
 
   [[nodiscard]] bool clean() const noexcept { return first.empty(); }
 };
@@ -97,8 +97,8 @@
   ledger_options ledger;
 };
 
-/// \brief Several hosts over fakes of clock, network and log, all single-threaded. Beside them it
-/// keeps what a single host with one map would: bought, billed and consumed tokens by team.
+/// \brief Several hosts on a fake clock, network and log, single-threaded. Also keeps the expected
+/// sums of a naive ledger: bought, billed and consumed tokens by team.
 class fleet_model {
  public:
   fleet_model(const model_options& options, std::uint64_t seed);
@@ -106,22 +106,22 @@
   void apply(const step& s);
   /// \brief Checks the invariants in all hosts at once.
   void check();
-  /// \brief Ends all faults, lets everything settle and checks that nothing is left over.
+  /// \brief Ends all faults, runs until all work is done and checks that no slice is still held.
   void heal_and_check();
-  /// \brief One round in which time passes and everything that can move does.
+  /// \brief Advances the clock, delivers all messages, appends all records and ticks all hosts.
   void run_round();
 
   [[nodiscard]] const findings& found() const noexcept { return found_; }
   [[nodiscard]] const ledger_state& log_state() const noexcept { return reference_; }
 
-  // For tests of single stories.
+  // For tests of single scenarios.
   struct running_request;
   std::size_t start_request(std::uint32_t host, std::uint32_t team, token_count bound);
   [[nodiscard]] budget_outcome outcome(std::size_t request) const;
   /// \returns the host that holds the request's reservation.
   [[nodiscard]] std::uint32_t holder_of(std::size_t request) const;
   [[nodiscard]] team_totals totals(std::uint32_t team) const;
-  /// \brief Every host learns who is alive and connected.
+  /// \brief Updates every host's list of live and connected hosts.
   void see_all_members();
   void finish_request(std::size_t request, std::optional<token_count> used);
   void set_contract(std::uint32_t team, token_count bought);
@@ -153,9 +153,9 @@
     bool log_cut{};
     bool draining{};
     log_offset read_upto{};
-    std::deque<ledger_snapshot> incoming; ///< parts of a checkpoint that are still to be restored
+    std::deque<ledger_snapshot> incoming; ///< parts of a checkpoint not restored yet
   };
-  /// A checkpoint that one host is giving part by part while it goes on with its work.
+  /// A checkpoint that is being read from one host part by part, between other steps.
   struct open_checkpoint {
     std::uint32_t host{};
     incarnation giver;
@@ -172,20 +172,20 @@
     team_id team;
     token_count bought{};
   };
-  /// One map and one number each: the naive ledger.
+  /// Sums of one team in the naive ledger.
   struct expected_sums {
     token_count contract{};
     token_count billed{};
-    token_count unbilled{}; ///< consumed by requests that nobody could settle
+    token_count unbilled{}; ///< consumed by requests that no entry host could settle
   };
-  /// What is known of one request whichever attempt ran: the claims of a real fleet.
+  /// State of one request across its attempts, as the claims of a real fleet hold it.
   struct claim {
     std::uint32_t team{};
     token_count bound{};
     std::optional<incarnation> holder;
     bool finished{};
     std::uint32_t bills{};
-    std::set<epoch_number> epochs; ///< of the reservations that its attempts had
+    std::set<epoch_number> epochs; ///< epochs of its attempts' reservations
     token_count consumed{};        ///< by attempts of dead entry hosts, until the request is billed
   };
 
@@ -221,16 +221,16 @@
   std::vector<fake_host> hosts_;
   std::vector<bool> cuts_; ///< hosts x hosts
   std::vector<in_flight> network_;
-  std::vector<in_flight> late_messages_; ///< copies that are held up
+  std::vector<in_flight> late_messages_; ///< delayed copies
   std::vector<ledger_record> appends_;
-  std::vector<ledger_record> late_appends_; ///< held up
+  std::vector<ledger_record> late_appends_; ///< delayed records
   std::vector<log_entry> log_;              ///< offset - 1
   log_offset first_retained_{1};
   std::optional<open_checkpoint> open_checkpoint_;
-  std::vector<ledger_snapshot> checkpoint_; ///< parts of the last whole one
+  std::vector<ledger_snapshot> checkpoint_; ///< parts of the last complete checkpoint
   bool log_down_{};
   std::set<record_id> applied_; ///< grants and releases
-  ledger_state reference_;      ///< has read everything
+  ledger_state reference_;      ///< has replayed the whole log
   std::vector<team_id> teams_;
   std::vector<expected_sums> expected_;
   std::vector<claim> claims_;
--- a/tests/ledger/fleet_steps.cpp
+++ b/tests/ledger/fleet_steps.cpp
@@ -1,4 +1,4 @@
-// What each step of a schedule does to the model, and the invariants.
+// Applies each kind of step to the model, and checks the invariants.
 
 #include "fleet_model.hpp"
 
@@ -160,15 +160,16 @@
     collect(index);
 }
 
-// A shared reservation must not shrink below what an attempt of a dead entry host may have used.
+// A shared reservation must not shrink below the tokens that an attempt of a dead entry host may
+// have used.
 bool fleet_model::is_only_attempt(const running_request& r) const {
   const auto same_key = [&](const running_request& other) { return other.key == r.key; };
   return hosts_[r.host].id == r.entry && claims_[r.key].consumed == 0 &&
          std::count_if(requests_.begin(), requests_.end(), same_key) == 1;
 }
 
-// What of an epoch an operator must leave written off: tokens that were used, might be, or were
-// sent to another holder, and that the log does not show.
+// Tokens of an epoch that an operator must leave written off: those used, possibly used, or sent to
+// another holder, if the log does not show it.
 token_count fleet_model::unproven(const delegation& d) const {
   token_count used = 0;
   if (const auto found = billed_of_.find(d.epoch); found != billed_of_.end())
@@ -204,7 +205,7 @@
   collect(by);
 }
 
-// A witness of the newest term must know of all that is open, for it may reclaim the rest.
+// The witness of the newest term must know all opened tokens, because it may reclaim the rest.
 void fleet_model::check_slice(const slice& s) {
   if (s.free() < 0 || s.reserved < 0 || s.lost < 0 || s.opened > s.granted)
     report("a slice of epoch " + std::to_string(s.epoch) + " is negative");
@@ -221,11 +222,13 @@
   if (signed_part && signed_part->term >= d->term)
     known = std::max(known, signed_part->opened);
   if (s.opened > known)
-    report("epoch " + std::to_string(s.epoch) + " is open beyond what its witness knows");
+    report("epoch " + std::to_string(s.epoch) +
+           " is opened beyond what its witness has countersigned");
 }
 
-// At any moment, what was billed and what live hosts could still use is covered by what the log has
-// committed, and that by what was bought. A breach is a possible overspend before it becomes one.
+// At any time, tokens billed and tokens that live hosts could still use must not exceed the tokens
+// committed in the log, and those not the tokens bought. A violation is a possible overspend,
+// detected before it happens.
 void fleet_model::check_team(std::uint32_t team) {
   const name_index known = reference_.find_team(teams_[team]);
   const team_totals totals = reference_.totals(known);
@@ -289,7 +292,7 @@
     if (!r.over && r.outcome == budget_outcome::granted)
       end_request(r, r.bound / 2);
   }
-  // Then the waits for lost entry hosts and idle slices, with rounds for what follows from each.
+  // Waits past the timeouts for lost entry hosts and idle slices, with rounds after each wait.
   for (int wait = 0; wait < 8; ++wait) {
     now_ += options_.ledger.orphan_wait + options_.ledger.settle_give_up;
     for (int i = 0; i < rounds / 8; ++i)
@@ -301,7 +304,7 @@
     reference_.for_each_of(known, [&](const delegation& d) {
       if (d.state == delegation_state::live)
         report("epoch " + std::to_string(d.epoch) + " of " + teams_[team].str() +
-               " is still held though nobody uses it");
+               " is still live although no host uses it");
     });
   }
   const std::uint64_t digest = reference_.digest();
--- a/tests/ledger/late_record_test.cpp
+++ b/tests/ledger/late_record_test.cpp
@@ -1,4 +1,5 @@
-// Records that stand in the log long after what they tell of, and the schedules that showed them.
+// Records that reach the log late, after the state that they report has changed, and the schedules
+// that found such faults.
 
 #include "schedule.hpp"
 
@@ -39,9 +40,9 @@
 
 } // namespace
 
-// A holder has written off a reservation. The attempt turns up and is billed little, and the holder
-// sends what is free now to another one, whose report reaches the log first. What has moved on was
-// not lost: the sums of the team must not show less than nothing outstanding.
+// A holder writes off a reservation. A later attempt is billed little, and the holder sends the
+// freed tokens to another holder, whose report reaches the log first. Transferred tokens are not
+// lost: the team's outstanding sum must not become negative.
 TEST_CASE("tokens that have moved to another holder do not count as lost") {
   log_fixture log;
   const epoch_number sender = log.grant_to(holder, 1000);
@@ -57,16 +58,16 @@
   CHECK(log.totals().committed() == committed);
 }
 
-TEST_CASE("schedules in which a transfer is reported before what was found again") {
+TEST_CASE("schedules in which a transfer is reported before the recovered reservation") {
   CHECK(first_finding(30202898) == "");
   CHECK(first_finding(30481329) == "");
 }
 
-// A holder has billed 500 tokens, gives 300 back, and dies with all its reports under way. An
-// operator proves from the endpoints that only the 500 were used, and the rest is released. Then
-// the report comes that gives 300 back: they were among the released, and what was used must stay
+// A holder has billed 500 tokens, returns 300, and dies with all its reports in flight. An operator
+// proves from the endpoints' records that only 500 were used and releases the rest. Then the report
+// that returns 300 is appended: they were among the released tokens, and the used tokens must stay
 // committed.
-TEST_CASE("tokens that were released are not given back once more by a late report") {
+TEST_CASE("a late report does not return released tokens again") {
   log_fixture log;
   const epoch_number epoch = log.grant_to(holder, 1000);
   REQUIRE(log.apply(reclaim_batch{{{epoch, 0, 1000}}}) == record_verdict::applied);
--- a/tests/ledger/ledger_codec_test.cpp
+++ b/tests/ledger/ledger_codec_test.cpp
@@ -48,7 +48,7 @@
           hold_budget{team}};
 }
 
-/// A value that came back the same encodes to the same bytes.
+/// Checks that a value encodes to the same bytes after a round trip.
 template <typename Wire, typename Value>
 void check_round_trip(const Value& value) {
   const std::string bytes = to_wire(value).SerializeAsString();
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE("every record, message and checkpoint survives the wire") {
+TEST_CASE("every record, message and checkpoint round-trips through the wire format") {
   const std::vector<ledger_message> messages = every_message();
   CHECK(messages.size() == std::variant_size_v<ledger_message>);
   for (const ledger_message& message : messages) {
@@ -89,7 +89,7 @@
   CHECK(restored.offset() == fleet.log_state().offset());
 }
 
-TEST_CASE("a checkpoint that contradicts itself is refused") {
+TEST_CASE("an inconsistent checkpoint is rejected") {
   fleet_model fleet{{}, 3};
   fleet.start_request(0, 0, 100);
   for (int i = 0; i < 10; ++i)
@@ -113,8 +113,8 @@
   CHECK_THROWS_AS(static_cast<void>(from_wire(message)), error);
 }
 
-// A damaged or hostile peer sends bytes that parse as protobuf but say nonsense. Anything but a
-// value or a typed error would end the host.
+// A faulty or hostile peer may send bytes that parse as protobuf but hold invalid values. Anything
+// but a value or a typed error would terminate the host.
 TEST_CASE("altered bytes give a value or a typed error") {
   std::mt19937_64 random{5};
   int rejected = 0;
--- a/tests/ledger/step_source.cpp
+++ b/tests/ledger/step_source.cpp
@@ -1,4 +1,4 @@
-// Draws the steps of a schedule: single ones by their weights, and episodes.
+// Draws the steps of a schedule: single steps by weight, and episodes.
 
 #include "fleet_model.hpp"
 
@@ -36,28 +36,29 @@
 
 constexpr std::uint32_t favoured_factor = 5;
 
-// Half of the schedules tell episodes, with an odd step between two of theirs now and then.
+// Half of the schedules have episodes, with occasional random steps between the steps of one.
 constexpr std::uint64_t without_episodes_one_in = 2;
 constexpr std::uint64_t episode_one_in = 20;
 constexpr std::uint64_t random_step_one_in = 10;
 
-/// Whom a step of an episode concerns.
+/// Host that a step of an episode acts on.
 enum class actor {
   first, ///< one host throughout the episode
   second,
   any,
-  each, ///< one host after the other
+  each, ///< a different host at each repetition
 };
 
 struct episode_step {
   step_kind kind;
   actor who{actor::any};
   std::uint32_t times{1};
-  bool ends_cut{}; ///< a cut ends
+  bool ends_cut{}; ///< for `cut_data_centre`: the partition ends
 };
 
-// Both hosts that know what is open of a budget are away. The others write it off and an operator
-// releases what he can prove; then the witness is back and has read nothing of that.
+// Holder and witness of an epoch, which know the opened amount, are both lost. The other hosts
+// write it off and an operator releases the tokens proved unused; then the witness resumes without
+// having read any of that.
 constexpr std::array witness_back_after_release{
     episode_step{request, actor::first, 2},   episode_step{run, actor::any, 3},
     episode_step{settle, actor::any, 2},      episode_step{pause, actor::second},
@@ -67,8 +68,8 @@
     episode_step{see_members, actor::second}, episode_step{pass_time, actor::second},
     episode_step{append, actor::any, 2}};
 
-// Two sides of a cut each ask for a part of a budget, and one of the askers does not hear from the
-// log what it was given. The other one meets it again and sends it tokens.
+// Hosts on both sides of a partition request part of a budget, and one of them cannot read its
+// grant from the log. After the partition ends the other host sends it tokens.
 constexpr std::array transfer_before_grant_read{
     episode_step{run},
     episode_step{cut_data_centre, actor::first},
@@ -85,8 +86,8 @@
     episode_step{read, actor::second, 3},
     episode_step{late_message, actor::any, 3}};
 
-// A request is asked for, runs and is billed while copies of its messages are held up, until long
-// after nobody remembers it.
+// A request is reserved, runs and is billed while copies of its messages are delayed until long
+// after its bill was forgotten.
 constexpr std::array copies_after_settlement{episode_step{request, actor::first},
                                              episode_step{copy_late, actor::any, 3},
                                              episode_step{run},
