--- a/src/ledger/impl/ledger_checkpoint.cpp
+++ b/src/ledger/impl/ledger_checkpoint.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::uint64_t mixed(std::uint64_t hash, token_count value) {
+std::uint64_t mix_tokens(std::uint64_t hash, token_count value) {
   return mix_hash(hash, static_cast<std::uint64_t>(value));
 }
 
@@ -26,14 +26,14 @@
   hash = mix_hash(hash, d.reclaim_applied ? 1 : 0);
   for (const token_count value :
        {d.granted, d.opened, d.received, d.spent, d.returned, d.lost, d.sent, d.moved, d.gone})
-    hash = mixed(hash, value);
+    hash = mix_tokens(hash, value);
   hash = mix_hash(hash, d.moved_upto);
   for (const std::uint32_t sequence : d.moved_after)
     hash = mix_hash(hash, sequence);
   return hash;
 }
 
-[[noreturn]] void refuse(const std::string& why) {
+[[noreturn]] void throw_invalid(const std::string& why) {
   throw error{error_kind::invalid_document, "ledger checkpoint", why};
 }
 
@@ -50,7 +50,7 @@
     std::uint64_t hash = stable_hash(team_names_.name(team));
     for (const token_count value :
          {row.contract, row.spent, row.outstanding, row.written_off, row.orphaned})
-      hash = mixed(hash, value);
+      hash = mix_tokens(hash, value);
     sum += hash;
   }
   for (const auto& [epoch, d] : delegations_)
@@ -75,7 +75,7 @@
     return 0;
   std::uint64_t hash = stable_hash(row.team.str());
   for (const token_count value : {row.contract, row.spent, outstanding, written_off, row.orphaned})
-    hash = mixed(hash, value);
+    hash = mix_tokens(hash, value);
   return sum + hash;
 }
 
@@ -170,7 +170,7 @@
   const bool witnessed = given.witness != no_name;
   if (given.team >= teams.size() || given.holder >= hosts.size() ||
       (witnessed && given.witness >= hosts.size()) || given.data_centre >= data_centres.size())
-    refuse("epoch " + std::to_string(given.epoch) + " refers to a name that is not given");
+    throw_invalid("epoch " + std::to_string(given.epoch) + " refers to a name that is not given");
   delegation d = given;
   d.team = teams[given.team];
   d.holder = hosts[given.holder];
@@ -179,7 +179,7 @@
   team_row& row = teams_[d.team];
   d.next_of_team = row.first_epoch;
   if (!delegations_.try_emplace(d.epoch, d).second)
-    refuse("epoch " + std::to_string(given.epoch) + " is given twice");
+    throw_invalid("epoch " + std::to_string(given.epoch) + " is given twice");
   row.first_epoch = d.epoch;
   row.outstanding += d.outstanding();
   row.written_off += d.written_off();
@@ -206,7 +206,7 @@
   for (const ledger_snapshot::recent_id& given : recent_)
     recent_ids_.insert(given.id);
   if (digest() != done.digest)
-    refuse("the rows do not have the digest that the checkpoint states");
+    throw_invalid("the rows do not have the digest that the checkpoint states");
 }
 
 } // namespace sedgechute::ledger
