--- a/src/ledger/impl/entry_role.hpp
+++ b/src/ledger/impl/entry_role.hpp
@@ -68,8 +68,8 @@
   host_context& context_;
   holder_role& holder_;
   absl::flat_hash_map<ticket_number, attempt> attempts_;
-  absl::btree_set<ticket_number>
-      unfinished_; ///< asking or settling; ordered so that runs are reproducible
+  // Attempts that are asking or settling; ordered so that runs are reproducible.
+  absl::btree_set<ticket_number> unfinished_;
   ticket_number last_ticket_{0};
 };
 
--- a/src/ledger/impl/holder_role.hpp
+++ b/src/ledger/impl/holder_role.hpp
@@ -34,8 +34,7 @@
   void on_message(time_ms now, name_index from, const token_refusal& message);
   void on_message(time_ms now, name_index from, const hold_budget& message);
 
-  /// \brief A grant or witness replacement of this host was read back. The caller calls `sync`
-  /// next.
+  /// \brief A grant or witness replacement of this host was read back; `sync` must follow.
   void on_append_confirmed(const record_id& id);
   /// \brief Updates this host's slices of the team from the replayed state.
   void sync(time_ms now, name_index team);
@@ -46,6 +45,7 @@
   void drain(time_ms now);
   [[nodiscard]] bool drained() const noexcept { return draining_ && accounts_.empty(); }
 
+  /// \returns the team's account, or null if this host keeps none.
   [[nodiscard]] const account* find(name_index team) const;
   [[nodiscard]] std::size_t reservation_count() const noexcept { return reservations_.size(); }
   template <typename Visit>
@@ -79,6 +79,8 @@
   void write_off(time_ms now, const reservation_key& key, reservation& r);
 
   // holder_supply.cpp: chunks, grants and verdicts on waiting attempts
+  /// Serves the waiting, opens chunks, requests tokens and decides, after any change of the
+  /// account.
   void advance(time_ms now, account& a);
   void serve_waiting(time_ms now, account& a);
   void open_next_chunk(time_ms now, account& a);
@@ -117,6 +119,7 @@
   [[nodiscard]] bool log_is_reachable(time_ms now, const slice& s, const delegation& d) const;
   [[nodiscard]] bool can_close(time_ms now, const account& a, const slice& s) const;
   [[nodiscard]] bool is_idle(time_ms now, const account& a) const;
+  /// \returns whether the slice is reported now; first starts to close it if that is possible.
   [[nodiscard]] bool report_is_due(time_ms now, bool regular, account& a, slice& s,
                                    const delegation& d) const;
   void report_changes(time_ms now);
@@ -125,8 +128,8 @@
   void update_rates(time_ms now, account& a) const;
 
   host_context& context_;
-  absl::btree_map<name_index, std::unique_ptr<account>>
-      accounts_; ///< ordered so that runs are reproducible
+  // Ordered so that runs are reproducible.
+  absl::btree_map<name_index, std::unique_ptr<account>> accounts_;
   reservation_table reservations_;
   absl::flat_hash_set<std::pair<epoch_number, std::uint32_t>> credited_transfers_;
   // By entry host: the highest ticket whose settled reservation was forgotten.
--- a/src/ledger/impl/ledger_checkpoint.cpp
+++ b/src/ledger/impl/ledger_checkpoint.cpp
@@ -170,7 +170,8 @@
   const bool witnessed = given.witness != no_name;
   if (given.team >= teams.size() || given.holder >= hosts.size() ||
       (witnessed && given.witness >= hosts.size()) || given.data_centre >= data_centres.size())
-    throw_invalid("epoch " + std::to_string(given.epoch) + " refers to a name that is not given");
+    throw_invalid("epoch " + std::to_string(given.epoch) +
+                  " refers to a name that is not in the checkpoint");
   delegation d = given;
   d.team = teams[given.team];
   d.holder = hosts[given.holder];
@@ -179,7 +180,7 @@
   team_row& row = teams_[d.team];
   d.next_of_team = row.first_epoch;
   if (!delegations_.try_emplace(d.epoch, d).second)
-    throw_invalid("epoch " + std::to_string(given.epoch) + " is given twice");
+    throw_invalid("epoch " + std::to_string(given.epoch) + " is listed twice");
   row.first_epoch = d.epoch;
   row.outstanding += d.outstanding();
   row.written_off += d.written_off();
@@ -206,7 +207,7 @@
   for (const ledger_snapshot::recent_id& given : recent_)
     recent_ids_.insert(given.id);
   if (digest() != done.digest)
-    throw_invalid("the rows do not have the digest that the checkpoint states");
+    throw_invalid("the digest of the restored state differs from the stated digest");
 }
 
 } // namespace sedgechute::ledger
