--- a/src/relay/impl/choose_replica.cpp
+++ b/src/relay/impl/choose_replica.cpp
@@ -8,9 +8,9 @@
   const auto here = static_cast<double>(candidate.open_here + candidate.open_elsewhere);
   if (!candidate.load || candidate.load_age > weights.max_load_age)
     return here;
-  const auto said = static_cast<double>(candidate.load->running + candidate.load->waiting +
-                                        candidate.sent_since_load);
-  return std::max(here, said);
+  const auto reported = static_cast<double>(candidate.load->running + candidate.load->waiting +
+                                            candidate.sent_since_load);
+  return std::max(here, reported);
 }
 
 double placement_cost(const replica_candidate& candidate, std::uint64_t prompt_tokens,
--- a/src/relay/impl/endpoint_exchange.cpp
+++ b/src/relay/impl/endpoint_exchange.cpp
@@ -108,23 +108,23 @@
 // Without the field that marks an endpoint's answer, the reply may come from another program at
 // the address. A status of refusal without the field that promises that nothing ran leaves open
 // whether the request has run.
-bool endpoint_exchange::is_answer(const reply_terms& said) const {
-  const bool of_this = said.echoed_id.empty() || said.echoed_id == parts_.request.terms.id;
-  return of_this && said.whole && !promises_not_run(reply_.status);
+bool endpoint_exchange::is_answer(const reply_terms& terms) const {
+  const bool of_this = terms.echoed_id.empty() || terms.echoed_id == parts_.request.terms.id;
+  return of_this && terms.whole && !promises_not_run(reply_.status);
 }
 
 send_outcome endpoint_exchange::read_reply() {
   const io_status status = read_final_head();
   if (status != io_status::ok)
     return end_of(status);
-  const reply_terms said = parts_.dialect.read_reply(reply_);
-  if (said.load)
-    parts_.endpoints.note_load(parts_.place, *said.load);
-  if (said.misdirected)
+  const reply_terms terms = parts_.dialect.read_reply(reply_);
+  if (terms.load)
+    parts_.endpoints.note_load(parts_.place, *terms.load);
+  if (terms.misdirected)
     parts_.endpoints.note_leaving(parts_.place);
-  if (said.not_run)
+  if (terms.not_run)
     return send_outcome::not_run;
-  if (!is_answer(said))
+  if (!is_answer(terms))
     return send_outcome::failed;
   const bool events =
       parts_.request.on_route->kind == request_kind::stream && is_success(reply_.status);
--- a/src/relay/impl/endpoint_exchange.hpp
+++ b/src/relay/impl/endpoint_exchange.hpp
@@ -50,7 +50,7 @@
   [[nodiscard]] send_outcome read_reply();
   [[nodiscard]] io_status read_final_head();
   /// \returns whether the header belongs to an endpoint's answer to this request
-  [[nodiscard]] bool is_answer(const reply_terms& said) const;
+  [[nodiscard]] bool is_answer(const reply_terms& terms) const;
   [[nodiscard]] send_outcome take_answer();
   [[nodiscard]] send_outcome take_stream();
   void note_prompt_read();
--- a/src/relay/impl/request_run.cpp
+++ b/src/relay/impl/request_run.cpp
@@ -230,8 +230,9 @@
 connection_action request_run::done() const noexcept {
   if (!ends_connection())
     return connection_action::next_request;
-  const bool told = announced_close_ || answer_.announced_close();
-  return told || in_.caller.quiet() ? connection_action::close : connection_action::next_request;
+  const bool announced = announced_close_ || answer_.announced_close();
+  return announced || in_.caller.quiet() ? connection_action::close
+                                         : connection_action::next_request;
 }
 
 std::uint64_t request_run::used() const noexcept {
--- a/tests/relay/endpoint_restart_test.cpp
+++ b/tests/relay/endpoint_restart_test.cpp
@@ -143,13 +143,13 @@
   (void)at.place(&terms);
   at.directory.put(entry("e", later));
   CHECK(at.directory.own_use(false).empty());
-  for (const prefix_location& told : at.directory.take_own_prefix_locations())
-    CHECK(told.endpoint == incarnation_of(endpoint_id{"e"}, first_start));
+  for (const prefix_location& reported : at.directory.take_own_prefix_locations())
+    CHECK(reported.endpoint == incarnation_of(endpoint_id{"e"}, first_start));
   (void)at.place(&terms);
-  const auto told = at.directory.own_use(false);
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].endpoint == incarnation_of(endpoint_id{"e"}, later));
-  CHECK(told[0].use.open == 1);
+  const auto reported = at.directory.own_use(false);
+  REQUIRE(reported.size() == 1);
+  CHECK(reported[0].endpoint == incarnation_of(endpoint_id{"e"}, later));
+  CHECK(reported[0].use.open == 1);
 }
 
 // An engine replied that it is leaving, or that another one has its address, then crashed and
--- a/tests/relay/host_pressure_test.cpp
+++ b/tests/relay/host_pressure_test.cpp
@@ -45,23 +45,23 @@
 // threads wake up late. It must report itself as busy to the balancer all the same.
 TEST_CASE("a host that refuses requests is busy within half a second and recovers after them") {
   load_shedding shedding{shedding_options{}};
-  constexpr time_ms look{50};
+  constexpr time_ms interval{50};
   for (int i = 0; i < 10; ++i) {
-    shedding.note_wake_up(time_ms{}, look);
-    shedding.note_requests(3, 5, look);
+    shedding.note_wake_up(time_ms{}, interval);
+    shedding.note_requests(3, 5, interval);
   }
   CHECK(shedding.busy());
   CHECK(shedding.refused_fraction() == 0);
   for (int i = 0; i < 60; ++i)
-    shedding.note_requests(0, 1, look);
+    shedding.note_requests(0, 1, interval);
   CHECK_FALSE(shedding.busy());
 }
 
 TEST_CASE("one refused request does not make a host busy") {
   load_shedding shedding{shedding_options{}};
-  constexpr time_ms look{50};
+  constexpr time_ms interval{50};
   for (int i = 0; i < 20; ++i)
-    shedding.note_requests(0, 2, look);
-  shedding.note_requests(1, 2, look);
+    shedding.note_requests(0, 2, interval);
+  shedding.note_requests(1, 2, interval);
   CHECK_FALSE(shedding.busy());
 }
--- a/tests/relay/load_shedding_test.cpp
+++ b/tests/relay/load_shedding_test.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-constexpr time_ms look{50};
+constexpr time_ms interval{50};
 
 /// A host whose threads wake up later the more work is waiting. Refused requests add no work.
 class host_model {
  public:
   /// \param load  offered work as a fraction of the processor's capacity
   void run(double load, time_ms span) {
-    for (time_ms at{}; at < span; at += look) {
+    for (time_ms at{}; at < span; at += interval) {
       const double taken = load * (1 - shedding.refused_fraction());
-      waiting_ms_ = std::max(0.0, waiting_ms_ + (taken - 1) * static_cast<double>(look.count()));
+      waiting_ms_ =
+          std::max(0.0, waiting_ms_ + (taken - 1) * static_cast<double>(interval.count()));
       const double late = std::min(waiting_ms_ / 10, 40.0) + (taken > 0.9 ? 1.0 : 0.0);
-      shedding.note_wake_up(time_ms{static_cast<std::int64_t>(late)}, look);
+      shedding.note_wake_up(time_ms{static_cast<std::int64_t>(late)}, interval);
     }
   }
 
@@ -71,7 +72,7 @@
   shedding.note_wake_up(time_ms{4000}, time_ms{4050});
   CHECK(shedding.refused_fraction() <= 0.4);
   for (int i = 0; i < 60; ++i)
-    shedding.note_wake_up(time_ms{0}, look);
+    shedding.note_wake_up(time_ms{0}, interval);
   CHECK(shedding.refused_fraction() < 0.2);
 }
 
--- a/tests/relay/prefix_index_test.cpp
+++ b/tests/relay/prefix_index_test.cpp
@@ -28,14 +28,14 @@
 }
 
 TEST_CASE("the longest prefix sent to an endpoint counts until it expires") {
-  const auto starts = shared_prefixes(prompt_of({{"a", 100}, {"b", 200}, {"own", 50}}));
+  const auto prefixes = shared_prefixes(prompt_of({{"a", 100}, {"b", 200}, {"own", 50}}));
   prefix_index seen{time_ms{5000}};
-  seen.note({starts[0].hash, 7}, time_ms{1000});
-  CHECK(seen.tokens_at(starts, 7, time_ms{2000}) == 100);
-  seen.note({starts[1].hash, 7}, time_ms{3000});
-  CHECK(seen.tokens_at(starts, 7, time_ms{3500}) == 300);
-  CHECK(seen.tokens_at(starts, 8, time_ms{3500}) == 0);
-  CHECK(seen.tokens_at(starts, 7, time_ms{9000}) == 0);
+  seen.note({prefixes[0].hash, 7}, time_ms{1000});
+  CHECK(seen.tokens_at(prefixes, 7, time_ms{2000}) == 100);
+  seen.note({prefixes[1].hash, 7}, time_ms{3000});
+  CHECK(seen.tokens_at(prefixes, 7, time_ms{3500}) == 300);
+  CHECK(seen.tokens_at(prefixes, 8, time_ms{3500}) == 0);
+  CHECK(seen.tokens_at(prefixes, 7, time_ms{9000}) == 0);
   seen.remove_expired(time_ms{20000});
   CHECK(seen.size() == 0);
 }
--- a/tests/relay/request_path_test.cpp
+++ b/tests/relay/request_path_test.cpp
@@ -1,4 +1,4 @@
-// End-to-end tests: raw caller, front door, relay and scripted endpoints.
+// End-to-end tests: raw caller, HTTP frontend, relay and scripted endpoints.
 
 #include "relay_fixture.hpp"
 
@@ -177,10 +177,10 @@
 // An endpoint accepts requests and never answers. A safe request is sent elsewhere long before its
 // caller's timeout.
 TEST_CASE("a safe request does not wait for a hanging endpoint") {
-  scripted_endpoint mute{replies("", then::hang)};
+  scripted_endpoint hanging{replies("", then::hang)};
   scripted_endpoint sound{answers("ok")};
   relay_fixture at;
-  at.add_endpoint("e1", mute.address());
+  at.add_endpoint("e1", hanging.address());
   at.add_endpoint("e2", sound.address());
   for (int i = 0; i < 4; ++i) {
     raw_caller caller{at.address()};
--- a/tests/relay/send_rules_test.cpp
+++ b/tests/relay/send_rules_test.cpp
@@ -81,10 +81,11 @@
     REQUIRE(how.answer == final_answer::refusal);
     return *how.refusal;
   };
-  const send_progress unrun{.sends = 1};
-  CHECK(refusal(send_outcome::not_run, unrun).kind() == error_kind::no_capacity);
-  CHECK(refusal(send_outcome::not_run, unrun).retry_after() == time_ms{500});
-  CHECK(refusal(send_outcome::timed_out, unrun).kind() == error_kind::deadline_unreachable);
+  const send_progress refused_progress{.sends = 1};
+  CHECK(refusal(send_outcome::not_run, refused_progress).kind() == error_kind::no_capacity);
+  CHECK(refusal(send_outcome::not_run, refused_progress).retry_after() == time_ms{500});
+  CHECK(refusal(send_outcome::timed_out, refused_progress).kind() ==
+        error_kind::deadline_unreachable);
   CHECK(refusal(send_outcome::failed, after_one_send).kind() == error_kind::endpoint_failed);
   CHECK(refusal(send_outcome::timed_out, after_one_send).kind() == error_kind::outcome_unknown);
   CHECK(refusal(send_outcome::host_stopped, after_one_send).kind() == error_kind::outcome_unknown);
--- a/tests/relay/stopping_host_test.cpp
+++ b/tests/relay/stopping_host_test.cpp
@@ -107,8 +107,8 @@
   REQUIRE(at.has_open(1));
   at.relay().stop().begin();
   at.relay().stop().cut();
-  constexpr int looks = 50; // of 20 ms each: the connection itself fails only after 2 s
-  for (int i = 0; i < looks && at.relay().open() > 0; ++i)
+  constexpr int polls = 50; // of 20 ms each: the connection itself fails only after 2 s
+  for (int i = 0; i < polls && at.relay().open() > 0; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds{20});
   CHECK(at.relay().open() == 0);
 }
