--- a/src/relay/impl/caller_poll.cpp
+++ b/src/relay/impl/caller_poll.cpp
@@ -43,7 +43,7 @@
       time_{time}, log_{log}, on_ready_{std::move(on_ready)}, epoll_{
                                                                   ::epoll_create1(EPOLL_CLOEXEC)} {
   if (epoll_ < 0)
-    throw std::system_error{errno, std::generic_category(), "epoll_create1"};
+    throw std::system_error{errno, std::generic_category(), "epoll"};
   socket_.setBlocking(false); // a caller may leave before it is accepted
 }
 
