--- a/tests/relay/relay_fixture.hpp
+++ b/tests/relay/relay_fixture.hpp
@@ -55,7 +55,7 @@
   io_status last_{io_status::ok};
 };
 
-/// \brief One host with its front door and the endpoints that a test adds.
+/// \brief One host with its HTTP frontend and the endpoints that a test adds.
 class relay_fixture {
  public:
   /// \param prepaid  tokens of the only team
