--- a/src/routing/impl/attempt_rule.hpp
+++ b/src/routing/impl/attempt_rule.hpp
@@ -6,19 +6,20 @@
 
 namespace sedgechute {
 
-/// \brief What is known of a request one of whose attempts has failed.
+/// \brief State of a request after a failed attempt.
 struct failed_so_far {
-  bool may_have_run{};       ///< at an endpoint, at least in part
-  bool harmless_twice{};     ///< a second run does no harm
-  bool answer_begun{};       ///< its caller has a part behind which no other run can go on
-  std::uint32_t attempts{1}; ///< made, the last one included
+  bool may_have_run{};       ///< an endpoint may have run at least part of it
+  bool harmless_twice{};     ///< running it twice is safe
+  bool answer_begun{};       ///< the caller already holds part of a response that no other run can
+                             ///< continue
+  std::uint32_t attempts{1}; ///< attempts made, including the failed one
   std::uint32_t most_attempts{1};
 };
 
-/// \returns whether another attempt may follow, if time is left and it can be afforded
+/// \returns whether another attempt is permitted; deadline and retry budget are checked separately
 [[nodiscard]] bool may_attempt_again(const failed_so_far& request) noexcept;
 
-/// \returns what the caller is told when none follows
+/// \returns the error for the caller if no further attempt is made
 [[nodiscard]] error_kind refusal_after(const failed_so_far& request) noexcept;
 
 } // namespace sedgechute
--- a/src/routing/impl/choose_endpoint.hpp
+++ b/src/routing/impl/choose_endpoint.hpp
@@ -8,41 +8,41 @@
 
 namespace sedgechute {
 
-/// \brief Chooses the endpoint for one attempt: two random candidates of this data centre, one of
-/// another, those that probably hold the prompt's prefix and the prefix's home, compared by the
-/// expected time to the first token.
+/// \brief Chooses the endpoint for one attempt. Candidates are two random endpoints of this data
+/// centre, one of another, those that probably cache the prompt's prefix, and the one on which the
+/// prefix is placed by hash; they are compared by the expected time to the first token.
 /// \param here  this host's data centre
-/// \returns nothing when no endpoint that is not leaving has what is needed
+/// \returns the choice, or nothing if no endpoint that is not leaving meets the need
 [[nodiscard]] std::optional<route_choice> choose_endpoint(const endpoint_table& table,
                                                           const route_need& need,
                                                           const data_centre_id& here,
                                                           random_source& random, time_ms now);
 
-/// \brief When a request that is next may go to the endpoint chosen for it.
+/// \brief Conditions under which the next request may be sent to its chosen endpoint.
 struct start_policy {
-  /// Places that each class leaves free at an endpoint for more urgent ones.
+  /// Places that each class leaves free at an endpoint for more urgent classes.
   std::array<double, work_class_count> places_left{0.0, 2.0, 4.0};
-  /// After this wait a class takes any place within this host's credit.
+  /// After this wait a class may use any place within this host's credit.
   std::array<time_ms, work_class_count> wait_for_place{time_ms{0}, time_ms{500}, time_ms{3000}};
-  /// Expected wait at the endpoint up to which a class is sent there rather than kept here, where
-  /// its order can still be changed.
+  /// Longest expected wait at the endpoint, in ms, for which a class is sent there. With a longer
+  /// one it stays in this host's queue, where it can still be reordered.
   std::array<double, work_class_count> most_queue_ms{400.0, 800.0, 1500.0};
-  double places_left_beyond{6.0}; ///< left at an endpoint by a team beyond its share
-  double credit_left_beyond{0.2}; ///< part of this host's credit left by such a team
-  double full_reserve_at{0.3};    ///< part of the pool that others use for these to hold whole
+  double places_left_beyond{6.0}; ///< places that a team beyond its share leaves at an endpoint
+  double credit_left_beyond{0.2}; ///< fraction of this host's credit that such a team leaves
+  double full_reserve_at{0.3};    ///< pool fraction used by teams within share for a full reserve
 };
 
-/// \returns whether the next request may go to the chosen endpoint now: into a place believed to be
-/// free, whoever's it is, or else within this host's credit
+/// \returns whether the next request may be sent to the chosen endpoint now: into a place that is
+/// estimated to be free, even beyond this host's credit, or else within that credit
 [[nodiscard]] bool may_start(const fair_queue& queue, const queue_head& head,
                              const route_choice& choice, const start_policy& policy) noexcept;
 
-/// \brief Leaves out of `filter` what the head that may not start stands for, so that it does not
-/// hold up what is more urgent.
-/// \returns false when nothing is left to consider
+/// \brief Narrows `filter` to requests more urgent than a head that may not start, so that the head
+/// does not block them.
+/// \returns false if no requests are left to consider
 [[nodiscard]] bool narrow(queue_filter& filter, const queue_head& head) noexcept;
 
-/// \brief The same without regard to classes, for pools that have only one.
+/// \brief Decides without regard to classes, for pools that have only one.
 [[nodiscard]] bool may_start(const fair_queue& queue, const route_choice& choice) noexcept;
 
 } // namespace sedgechute
--- a/src/routing/impl/endpoint_index.hpp
+++ b/src/routing/impl/endpoint_index.hpp
@@ -9,18 +9,18 @@
 
 namespace sedgechute {
 
-/// \brief Endpoints by pool, capability and data centre, so that a choice never scans them all. A
-/// capability is the hash of a model, a version or an adapter that is loaded; 0 is every endpoint
-/// of the pool.
+/// \brief Index of endpoints by pool, capability and data centre, which avoids a scan of all
+/// endpoints per choice. A capability is the hash of a loaded model, version or adapter; 0 selects
+/// every endpoint of the pool.
 class endpoint_index {
  public:
-  /// \brief One data centre's endpoints with a capability.
+  /// \brief Endpoints of one data centre that have a capability.
   struct bucket {
     std::uint32_t data_centre{};
     std::vector<std::uint32_t> members;
 
-    /// \returns the member that `key` is placed on; the same on every host with the same members
-    /// \pre there are members
+    /// \returns the member that consistent hashing assigns to `key`; every host with the same
+    /// members gets the same one \pre `members` is not empty
     [[nodiscard]] std::uint32_t home_of(std::uint64_t key) const noexcept;
 
    private:
@@ -32,20 +32,23 @@
     std::vector<point> ring_;
   };
 
+  /// \brief Endpoints of one pool that have a capability, by data centre.
   struct group {
     std::vector<bucket> buckets; ///< none is empty
     std::size_t size{};          ///< members of all buckets
 
+    /// \returns the data centre's bucket, or null if it has no members
     [[nodiscard]] const bucket* in(std::uint32_t data_centre) const noexcept;
   };
 
-  /// \param identity  stable hash of the endpoint's name, which fixes its places on the ring
+  /// \param identity  stable hash of the endpoint's name, which determines its positions on the
+  /// hash ring
   void add(std::uint32_t slot, std::uint64_t identity, std::uint64_t pool,
            std::span<const std::uint64_t> capabilities, std::uint32_t data_centre);
   void remove(std::uint32_t slot, std::uint64_t pool, std::span<const std::uint64_t> capabilities,
               std::uint32_t data_centre);
 
-  /// \returns the group, or null if no endpoint is in it
+  /// \returns the group, or null if it is empty
   [[nodiscard]] const group* find(std::uint64_t pool, std::uint64_t capability) const noexcept;
 
  private:
--- a/src/routing/impl/endpoint_info.hpp
+++ b/src/routing/impl/endpoint_info.hpp
@@ -8,7 +8,7 @@
 
 namespace sedgechute {
 
-/// \brief What an engine is used for.
+/// \brief Phase of inference that an engine serves.
 enum class endpoint_role { any, prefill, decode };
 
 template <>
@@ -18,14 +18,14 @@
                                                              {endpoint_role::decode, "decode"}});
 };
 
-/// \brief What is known of an endpoint before it was first reached.
+/// \brief Identity and location of an endpoint, known before the first connection to it.
 struct endpoint_info {
   endpoint_id id;
   pool_id pool;
   data_centre_id data_centre;
 };
 
-/// \brief A model at a version, as loaded; an empty version stands for any.
+/// \brief A model and its version; an empty version matches any.
 struct model_version {
   model_id model;
   std::string version;
@@ -33,39 +33,39 @@
   auto operator<=>(const model_version&) const = default;
 };
 
-/// \brief An endpoint's own report. Figures that it does not give stay 0.
+/// \brief Load that an endpoint reports. Values that it does not report are 0.
 struct load_report {
   std::uint32_t running{};
   std::uint32_t waiting{};
   std::uint32_t max_running{};
   double kv_used{};
   double kv_total{};
-  double prompt_tokens_per_s{}; ///< how fast it reads prompts
-  double tokens_per_s{};        ///< how fast it writes answers, all streams together
+  double prompt_tokens_per_s{}; ///< prefill throughput
+  double tokens_per_s{};        ///< output throughput of all streams together
   std::vector<model_version> models;
   std::vector<std::string> adapters;
-  bool loaded_known{}; ///< models and adapters are as the endpoint last told them
+  bool loaded_known{}; ///< `models` and `adapters` were reported by the endpoint
   endpoint_role role{endpoint_role::any};
-  time_ms age; ///< how old the figures were when they arrived
+  time_ms age; ///< age of the values on arrival
 };
 
-/// \brief What a request needs of an endpoint, and what it will cost it.
+/// \brief What a request requires of an endpoint, and its expected cost.
 struct route_need {
   pool_id pool;
   work_class kind{work_class::standard};
-  bool beyond_share{}; ///< as `queue_head` says
-  model_version model; ///< an empty model stands for whatever the pool serves
+  bool beyond_share{}; ///< as in `queue_head`
+  model_version model; ///< an empty model matches any that the pool serves
   std::string adapter;
   endpoint_role role{endpoint_role::any};
   std::uint32_t prompt_tokens{};
   std::uint32_t output_tokens{};         ///< expected
   std::span<const std::uint64_t> blocks; ///< chained hashes of the prompt's blocks, shortest first
-  std::span<const endpoint_id> avoid;    ///< endpoints that this request has already failed on
-  bool only_with_room{};   ///< this host has used its credit: look for a place that others left
-  std::uint64_t suspect{}; ///< the content's fingerprint if it may end what runs it, else 0
+  std::span<const endpoint_id> avoid;    ///< endpoints on which this request has failed
+  bool only_with_room{};                 ///< credit is used up: prefer endpoints with a free place
+  std::uint64_t suspect{}; ///< fingerprint of content suspected of crashing endpoints, else 0
 };
 
-/// \brief Why an endpoint was among the candidates.
+/// \brief Why an endpoint was a candidate.
 enum class choice_reason { random, cached, home, only };
 
 template <>
@@ -76,17 +76,17 @@
                                                              {choice_reason::only, "only"}});
 };
 
-/// \brief The endpoint for a request and what was expected of it.
+/// \brief The endpoint chosen for a request, with the estimates behind the choice.
 struct route_choice {
-  std::uint32_t slot{}; ///< the endpoint's number in its table
+  std::uint32_t slot{}; ///< index of the endpoint in its table
   endpoint_id endpoint;
   choice_reason reason{choice_reason::random};
-  double expected_wait_ms{};        ///< until the prompt is read and the first token comes
-  double queue_ms{};                ///< the part of it that is spent waiting at the endpoint
+  double expected_wait_ms{};        ///< until the first token, network included
+  double queue_ms{};                ///< part of it spent queued at the endpoint
   std::uint32_t predicted_cached{}; ///< prompt tokens expected to be cached
-  time_ms cached_age;               ///< since that prefix was last known to be there
-  double room{};                    ///< places believed to be free there
-  std::uint32_t considered{};       ///< how many endpoints were compared
+  time_ms cached_age;               ///< since the endpoint was last known to hold that prefix
+  double room{};                    ///< estimated free places at the endpoint
+  std::uint32_t considered{};       ///< number of endpoints compared
 };
 
 } // namespace sedgechute
--- a/src/routing/impl/endpoint_table.hpp
+++ b/src/routing/impl/endpoint_table.hpp
@@ -11,38 +11,39 @@
 
 namespace sedgechute {
 
+/// \brief Parameters of endpoint choice, load estimates and use reports.
 struct choice_policy {
   std::uint32_t draws{2};      ///< random candidates in this data centre
-  std::uint32_t long_draws{4}; ///< the same for long prompts
+  std::uint32_t long_draws{4}; ///< random candidates in this data centre for long prompts
   std::uint32_t long_prompt_tokens{4096};
   std::uint32_t far_draws{1};            ///< random candidates in other data centres
-  std::uint32_t compare_all_up_to{6};    ///< groups this small are compared whole
-  std::uint32_t look_for_room_up_to{32}; ///< the same, when only a free place will do
-  double default_distance_ms{2.0};       ///< one way, to a data centre with no known distance
-  double crowding_ms{60.0};              ///< cost of the last free place against an idle endpoint
+  std::uint32_t compare_all_up_to{6};    ///< group size up to which all are candidates
+  std::uint32_t look_for_room_up_to{32}; ///< the same with `route_need::only_with_room`
+  double default_distance_ms{2.0};       ///< one-way latency to a data centre if unknown
+  double crowding_ms{60.0};              ///< score penalty of a full endpoint against an idle one
   double usual_prompt_rate{8000.0};      ///< prompt tokens per second, until reported
-  double chunk_tokens{512.0};            ///< that engines read of a prompt without a break
+  double chunk_tokens{512.0};            ///< prefill chunk of engines; a chunk is not interrupted
   double usual_service_ms{4000.0};       ///< duration of a request, until learned
   double usual_cache_life_ms{120000.0};  ///< until learned
   std::uint32_t most_tokens_per_block{512};
   std::size_t most_places_told{256};
-  time_ms use_life{2500};        ///< after which another host's word on its use is too old
-  time_ms use_whole_every{1000}; ///< between reports of everything, which make up for lost ones
-  time_ms use_ends_every{100};   ///< longest wait of an end until it is told
-  time_ms told_staleness{40};    ///< of what other hosts tell as it changes
+  time_ms use_life{2500};        ///< age at which another host's use report expires
+  time_ms use_whole_every{1000}; ///< interval of full reports, which repair lost partial ones
+  time_ms use_ends_every{100};   ///< longest delay before an end is reported
+  time_ms told_staleness{40};    ///< assumed age of use that other hosts report as it changes
 };
 
-/// \returns how urgently the prompt is read: a long one counts as one class less urgent, as its own
-/// reading is most of its wait, and as it would hold up every short one
+/// \returns the urgency with which the prompt is prefilled. A long prompt counts as one class less
+/// urgent: its own prefill is most of its wait, and it would delay every short prompt behind it.
 [[nodiscard]] std::size_t reading_urgency(const route_need& need, double unread_tokens,
                                           const choice_policy& policy) noexcept;
 
 /// \brief One attempt of a request at an endpoint, kept by the caller until it ends.
 struct route_attempt {
   std::uint32_t slot{};
-  std::uint64_t life{}; ///< of the table's record; a removed endpoint's attempts are void
+  std::uint64_t life{}; ///< of the table's record; attempts of a removed endpoint have no effect
   std::size_t urgency{};
-  std::uint32_t unread{}; ///< prompt tokens counted as waiting to be read
+  std::uint32_t unread{}; ///< prompt tokens counted as not prefilled yet
   bool prompt_read{};
   std::uint32_t predicted_cached{};
   time_ms cached_age;
@@ -53,11 +54,12 @@
   time_ms first_token_at;
 };
 
+/// \brief How an attempt ended.
 enum class attempt_outcome {
   completed,
-  cancelled,      ///< by the caller or by us; says nothing of the endpoint
-  failed,         ///< answered by an error or cut
-  connect_failed, ///< no connection, or silent and proved dead by a probe
+  cancelled,      ///< by the caller or this host; not counted for or against the endpoint
+  failed,         ///< error response or broken stream
+  connect_failed, ///< no connection, or silent and a probe failed
 };
 
 template <>
@@ -69,30 +71,31 @@
                                    {attempt_outcome::connect_failed, "connect_failed"}});
 };
 
-/// \brief How an attempt ended, and what the engine said it used.
+/// \brief Outcome of an attempt and the usage that the engine reported.
 struct attempt_end {
   attempt_outcome outcome{attempt_outcome::completed};
   std::uint32_t output_tokens{};
   std::optional<std::uint32_t> cached_tokens;
 };
 
-/// \brief Everything that this host knows of the endpoints. Not thread-safe; needs a lock of rank
-/// `endpoints`.
+/// \brief This host's state of all endpoints: load, health, cached prefixes and use by other hosts.
+/// Not thread-safe; needs a lock of rank `endpoints`.
 class endpoint_table {
  public:
+  /// \brief One endpoint.
   struct record {
     endpoint_info info;
-    std::uint64_t life{};
+    std::uint64_t life{}; ///< unique number of this registration
     std::uint64_t identity{};
     std::uint32_t data_centre{};
     std::vector<std::uint64_t> capabilities;
     load_estimate load;
     endpoint_health health;
-    double cache_life_ms{};   ///< usual age at which a prefix is dropped
-    double event_trust{1.0};  ///< lowered by missed cache events, raised by hits
-    std::uint32_t suspects{}; ///< runs of suspected content that this host has there
+    double cache_life_ms{};   ///< learned age at which the engine evicts a prefix
+    double event_trust{1.0};  ///< 0..1, lowered by missed cache events, raised by hits
+    std::uint32_t suspects{}; ///< this host's running requests with suspected content
     bool present{};
-    bool active{}; ///< in the index of those that take new work
+    bool active{}; ///< accepts new work and is in the `active` index
   };
 
   explicit endpoint_table(choice_policy choice = {}, health_policy health = {});
@@ -100,63 +103,69 @@
   /// \brief Adds an endpoint, or updates a known one's pool and data centre.
   /// \returns its slot
   std::uint32_t add(const endpoint_info& info);
-  /// \brief Drops an endpoint; attempts at it may still be ended.
+  /// \brief Removes an endpoint; its attempts may still be ended.
   void remove(const endpoint_id& id);
   [[nodiscard]] std::optional<std::uint32_t> slot_of(const endpoint_id& id) const;
 
-  /// \brief From any source: host list, the endpoint's own word, the settings. At once no choice.
+  /// \brief Sets whether the endpoint drains, as given by host list, endpoint or settings. A
+  /// leaving endpoint is not chosen from then on.
   void set_leaving(const endpoint_id& id, bool leaving);
-  /// \param distance_ms  one way
+  /// \param distance_ms  one-way network latency
   void set_data_centre(const data_centre_id& id, double distance_ms, bool reachable);
 
   void apply_report(const endpoint_id& id, const load_report& report, time_ms now);
-  /// \brief A prefix was stored or evicted, by the engine's word.
+  /// \brief Applies an engine's event that a prefix was stored or evicted.
   void apply_cache_event(const endpoint_id& id, std::uint64_t block, bool stored, time_ms now);
-  /// \brief Events were missed: what was predicted of this endpoint is trusted less.
+  /// \brief Lowers the confidence in the endpoint's cached prefixes after missed events.
   void note_cache_gap(const endpoint_id& id, std::uint64_t missed);
 
-  /// \returns this host's own requests and what it has placed since the last call, for the others
+  /// \returns a full report of this host's requests at endpoints, with the prompt prefixes that it
+  /// has sent since the last report
   [[nodiscard]] use_report own_use(const incarnation& self);
-  /// \returns what the other hosts should be told now, if anything: starts almost at once, ends
-  /// with them or a little later, everything once a second. To be called about every 20 ms.
+  /// \returns the report to send to the other hosts now, if one is due: starts are reported by the
+  /// next call, ends with them or within `use_ends_every`, everything once a second. Call it about
+  /// every 20 ms.
   [[nodiscard]] std::optional<use_report> due_use(const incarnation& self, time_ms now);
-  /// \brief Another host's word on its requests.
+  /// \brief Applies another host's report.
   void apply_use(const use_report& report, time_ms now);
-  /// \brief Says which hosts send to these endpoints. Only while each has told of its use lately is
-  /// their word taken in place of the endpoints' reports. To be called about once a second.
+  /// \brief Sets the other hosts that send to these endpoints. Their use reports replace the
+  /// endpoints' load reports only while each of them has reported lately. Call it about once a
+  /// second.
   void set_senders(std::span<const incarnation> others, time_ms now);
 
+  /// \brief Counts a new attempt at the chosen endpoint.
   [[nodiscard]] route_attempt start(const route_choice& choice, const route_need& need,
                                     time_ms now);
   void first_token(route_attempt& attempt, time_ms now);
   void end(const route_attempt& attempt, const route_need& need, const attempt_end& result,
            time_ms now);
 
-  /// \brief A probe on a new connection, or a load report, worked.
+  /// \brief Notes that a probe on a new connection or the fetch of a load report succeeded.
   void reachable(const endpoint_id& id);
-  /// \brief A probe or the fetching of a load report found no connection.
+  /// \brief Notes that a probe or the fetch of a load report could not connect.
   void unreachable(const endpoint_id& id, time_ms now);
-  /// \brief Ejects and takes back; to be called about once a second.
-  /// \returns endpoints whose state changed
+  /// \brief Ejects and reinstates endpoints; call it about once a second.
+  /// \returns number of endpoints whose state changed
   std::size_t review(time_ms now);
 
   [[nodiscard]] const std::vector<record>& records() const noexcept { return records_; }
   [[nodiscard]] const endpoint_index& active() const noexcept { return active_; }
-  /// \returns the index of all that are not leaving, for when none is active
+  /// \returns the index of all endpoints that are not leaving, used if none is active
   [[nodiscard]] const endpoint_index& last_resort() const noexcept { return last_resort_; }
   [[nodiscard]] const prefix_table& prefixes() const noexcept { return prefixes_; }
   [[nodiscard]] const choice_policy& policy() const noexcept { return choice_; }
   [[nodiscard]] double distance_ms(std::uint32_t data_centre) const noexcept;
   [[nodiscard]] std::uint32_t data_centre_slot(const data_centre_id& id);
   [[nodiscard]] std::optional<std::uint32_t> known_data_centre(const data_centre_id& id) const;
+  /// \returns average duration of a request of the pool
   [[nodiscard]] double service_ms(const pool_id& pool) const;
-  /// \returns share of a prompt found cached where only the placement rule said so, 0..1
+  /// \returns average cached fraction of prompts that were placed by prefix hash alone, 0..1
   [[nodiscard]] double home_trust() const noexcept { return home_trust_; }
 
-  /// \returns places and believed load of a pool's endpoints that take work
+  /// \brief Places and estimated load of a pool's active endpoints.
   struct pool_load {
     std::size_t endpoints{};
-    std::array<std::size_t, endpoint_state_count> by_state{}; ///< by `endpoint_state`
+    std::array<std::size_t, endpoint_state_count> by_state{}; ///< count per `endpoint_state`
     double places{};
     double at_endpoints{};
   };
@@ -198,9 +207,9 @@
   double home_trust_{0.1};
   std::uint64_t lives_{};
   std::uint64_t use_sequence_{};
-  std::vector<prefix_place> placed_;       ///< not told to the other hosts yet
-  std::vector<std::uint32_t> use_changed_; ///< slots whose use was not told yet
-  bool use_started_{};                     ///< one of the changes is a start
+  std::vector<prefix_place> placed_;       ///< not reported to the other hosts yet
+  std::vector<std::uint32_t> use_changed_; ///< slots whose use is not reported yet
+  bool use_started_{};                     ///< at least one of the changes is a start
   time_ms use_told_;
   time_ms use_whole_told_;
   absl::flat_hash_map<incarnation, heard_use> heard_;
@@ -209,7 +218,7 @@
   bool all_heard_{};
 };
 
-/// \returns hash of a need or a loaded item, as the index keeps it
+/// \returns the capability for `endpoint_index`
 [[nodiscard]] std::uint64_t model_capability(const model_version& model);
 [[nodiscard]] std::uint64_t adapter_capability(std::string_view adapter);
 
--- a/src/routing/impl/fair_queue.hpp
+++ b/src/routing/impl/fair_queue.hpp
@@ -13,20 +13,20 @@
 
 namespace sedgechute {
 
-/// \brief How the queue orders a team's own work.
+/// \brief Order of requests within a team, and bounds of the retry-after hint.
 struct queue_policy {
-  /// After this wait a class gets at least `aged_share` of the team's service, whatever comes
-  /// before it.
+  /// A class that has waited this long gets at least `aged_share` of the team's service, even if
+  /// more urgent work waits.
   std::array<time_ms, work_class_count> patience{time_ms{0}, time_ms{3000}, time_ms{10000}};
   double aged_share{0.25};
   time_ms least_retry_after{1000};
   time_ms most_retry_after{60000};
 };
 
-/// \brief The requests of one endpoint pool that wait on this host. Between teams: start-time fair
-/// queueing by weight in tokens. Within a team: class, with a floor for classes that waited long;
-/// within a class: deadline. Work-conserving: a team with work is never passed over for one
-/// without.
+/// \brief Queue of this host's requests for one endpoint pool. Between teams it applies start-time
+/// fair queueing, weighted and measured in tokens. Within a team it orders by class, with a minimum
+/// share for classes that have waited long; within a class by deadline. It is work-conserving: no
+/// service is reserved for a team without waiting requests.
 ///
 /// Not thread-safe; needs a lock of rank `queues`.
 class fair_queue {
@@ -37,75 +37,79 @@
   void set_team(const team_id& team, const team_limits& limits, time_ms now);
 
   /// \brief Sets a team's share of this host's service, as planned over all hosts.
-  /// \param fraction  this host's part of the team's limits
-  /// \param excess    how far the team goes beyond its share of a pool that is short, 0..1
+  /// \param fraction  fraction of the team's limits that this host may use
+  /// \param excess    how far the team exceeds its share of an overloaded pool, 0..1
   void set_share(const team_id& team, double weight, double fraction, time_ms now,
                  double excess = 0.0);
 
-  /// \brief Requests that this host may have at the pool's endpoints at once.
+  /// \brief Sets how many requests this host may have at the pool's endpoints at once.
   void set_credit(double slots) noexcept { credit_ = slots; }
 
-  /// \returns whether one more may start without borrowing from other hosts.
+  /// \returns whether one more request may start within `part` of this host's credit
   [[nodiscard]] bool within_credit(double part = 1.0) const noexcept {
     return static_cast<double>(running_) < credit_ * part;
   }
 
-  /// \brief Takes a request in, or says why not and when to come back.
+  /// \brief Admits a request, or refuses it with a reason and a retry-after hint.
   [[nodiscard]] admission enqueue(const team_id& team, const queued_work& work, time_ms now);
 
-  /// \brief Part of the pool, 0..1, that teams within their share use while others go beyond
-  /// theirs.
+  /// \brief Sets the fraction of the pool, 0..1, that teams within their share use while others
+  /// exceed theirs.
   void set_entitled_part(double part) noexcept { entitled_part_ = part; }
   [[nodiscard]] double entitled_part() const noexcept { return entitled_part_; }
 
-  /// \returns the request that `dequeue` would start, if any may start
+  /// \returns the request that `dequeue` would start, or nothing if none may start
   [[nodiscard]] std::optional<queue_head> head(time_ms now, const queue_filter& filter = {});
 
-  /// \returns the ticket of `head` among all classes
+  /// \returns the ticket of `head` with the default filter
   [[nodiscard]] std::optional<std::uint64_t> peek(time_ms now);
 
   /// \brief Starts the next request; the team is charged its expected cost.
   [[nodiscard]] std::optional<work_grant> dequeue(time_ms now, const queue_filter& filter = {});
 
-  /// \brief Puts a started request back, first in its class, as if it had not been started.
+  /// \brief Returns a started request to the queue with its original arrival time and undoes its
+  /// charge.
   void put_back(const work_grant& grant, time_ms deadline, time_ms now);
 
-  /// \brief Corrects what a running request is charged, as soon as more is known.
+  /// \brief Corrects the charge of a running request to a newer estimate of its cost.
   void adjust(work_grant& grant, double cost, time_ms now);
 
-  /// \brief Ends a started request with its real cost.
+  /// \brief Ends a started request and charges its actual cost.
   void settle(const work_grant& grant, double cost, time_ms now);
 
+  /// \brief Removes a waiting request.
   /// \returns whether the ticket was waiting
   bool cancel(std::uint64_t ticket);
 
-  /// \returns tickets that can no longer start in time; they are out of the queue
+  /// \brief Removes the requests whose deadline has passed.
+  /// \returns their tickets
   [[nodiscard]] std::vector<std::uint64_t> expire(time_ms now);
 
-  /// \returns the wait that a request of this team, class and cost would have now
+  /// \returns the expected queueing time of a new request of this team and class
   [[nodiscard]] time_ms expected_wait(const team_id& team, work_class kind, time_ms now) const;
 
-  /// \returns the team's usual output for the class, at most `bound` tokens
+  /// \returns the team's average output for the class in tokens, at most `bound`; `bound` if
+  /// unknown
   [[nodiscard]] double expected_output(const team_id& team, work_class kind, double bound) const;
 
-  /// \brief Learns from an answer that ended by itself.
+  /// \brief Updates the average with the output of a response that was not cut short.
   void learn_output(const team_id& team, work_class kind, double output);
 
   [[nodiscard]] queue_figures figures() const noexcept;
 
-  /// \brief What one team has, did and wants here.
+  /// \brief One team's queued, running and total requests on this host.
   struct team_figures {
     team_id team;
     double weight{};
     std::size_t queued{};
     double queued_cost{};
-    double urgent_cost{}; ///< the part of it that is not long_running
+    double urgent_cost{}; ///< part of `queued_cost` that is not long_running
     std::size_t running{};
-    double started_cost{}; ///< since the start of the host, corrected by real costs
-    double arrived_cost{}; ///< since the start of the host, what was refused included
+    double started_cost{}; ///< total since the host started, corrected to actual costs
+    double arrived_cost{}; ///< total since the host started, refused requests included
   };
 
-  /// \returns the teams that have work here or ever had
+  /// \returns figures of every team that was configured or sent a request
   [[nodiscard]] std::vector<team_figures> teams() const;
 
  private:
@@ -116,7 +120,7 @@
     std::uint64_t sequence{}; ///< 0 when the slot is free
   };
 
-  /// One place in a heap; void once its item's sequence differs.
+  /// Element of a heap; stale once the item's sequence differs.
   struct entry {
     time_ms deadline;
     std::uint64_t sequence{};
@@ -127,9 +131,9 @@
     std::vector<entry> heap; ///< earliest deadline first
     std::size_t waiting{};
     double waiting_cost{};
-    time_ms waiting_since; ///< since when there has always been work
-    double owed{};         ///< cost due to this class for having been passed over
-    double usual_output{}; ///< moving average; 0 when not known yet
+    time_ms waiting_since; ///< when the class last became non-empty
+    double owed{};         ///< deficit in tokens from service to other classes of the team
+    double usual_output{}; ///< moving average; 0 if unknown
   };
 
   struct team_state {
@@ -139,7 +143,7 @@
     token_bucket request_rate;
     double weight{1.0};
     double excess{};
-    double finish{}; ///< virtual time up to which the team is charged
+    double finish{}; ///< virtual finish time of the team's charged work
     std::size_t queued{};
     double queued_cost{};
     std::size_t running{};
@@ -172,7 +176,7 @@
   std::vector<std::uint32_t> free_items_;
   absl::flat_hash_map<std::uint64_t, std::uint32_t> tickets_;
   std::vector<entry> deadlines_;
-  /// By urgency: teams that may start work of this class or a more urgent one.
+  /// Per urgency, the teams that may start work of this class or a more urgent one.
   std::array<slot_heap, urgency_count> ready_;
   double entitled_part_{};
   double virtual_time_{};
@@ -189,7 +193,7 @@
   bool window_open_{};
 };
 
-/// \returns this host's part of a limit that is shared by hosts
+/// \returns this host's part of a fleet-wide limit, at least 1
 [[nodiscard]] double queue_part(double limit, double fraction) noexcept;
 
 } // namespace sedgechute
--- a/src/routing/impl/load_estimate.hpp
+++ b/src/routing/impl/load_estimate.hpp
@@ -7,33 +7,38 @@
 
 namespace sedgechute {
 
-/// \brief Prompt tokens that wait to be read, by urgency: engines read the more urgent first.
+/// \brief Prompt tokens that wait for prefill, by urgency; engines prefill the more urgent first.
 using unread_by_urgency = std::array<double, urgency_count>;
 
-/// \brief An endpoint's load as this host best knows it: its last report, corrected by what this
-/// host has started and ended there since the figures were taken.
+/// \brief Estimate of an endpoint's load: its last report, corrected by this host's starts and ends
+/// since the report was taken, or the use that all hosts have reported.
 class load_estimate {
  public:
+  /// \brief Applies a load report; one older than the last is ignored.
   void apply(const load_report& report, time_ms now);
 
+  /// \brief Counts a request that this host has sent.
   void started(std::size_t urgency, std::uint32_t prompt_tokens, time_ms now);
-  /// \brief The prompt has been read: urgency and tokens as given to `started`.
+  /// \brief Counts a finished prefill; arguments as given to `started`.
   void prompt_read(std::size_t urgency, std::uint32_t prompt_tokens) noexcept;
+  /// \brief Counts the end of one of this host's requests.
   void ended(time_ms now);
 
-  /// \brief Another host's requests there have changed, by its own word.
+  /// \brief Adds (`sign` 1) or subtracts (`sign` -1) requests that another host has reported.
   void change_others(double running, const unread_by_urgency& unread, double sign) noexcept;
 
-  /// \param all_heard  every host that sends to this endpoint has told of its use lately
+  /// \brief Selects the source of the estimate.
+  /// \param all_heard  every host that sends to this endpoint has reported its use lately
+  /// \param staleness  assumed age of their reports
   void set_view(bool all_heard, time_ms staleness) noexcept;
 
-  /// \returns requests believed to be at the endpoint, running or waiting
+  /// \returns estimated requests at the endpoint, running or waiting
   [[nodiscard]] double at_endpoint() const noexcept;
-  /// \returns prompt tokens believed to be read before those of a new request
+  /// \returns estimated prompt tokens that are prefilled before a new request's
   [[nodiscard]] double unread_before(std::size_t urgency) const noexcept;
-  /// \returns places believed to be free; negative when requests wait for one
+  /// \returns estimated free places; negative if requests wait for one
   [[nodiscard]] double room() const noexcept;
-  /// \returns how old the knowledge of other hosts' requests is
+  /// \returns age of the information on other hosts' requests
   [[nodiscard]] time_ms staleness(time_ms now) const noexcept;
 
   [[nodiscard]] const load_report& last_report() const noexcept { return report_; }
--- a/src/routing/impl/order_planner.hpp
+++ b/src/routing/impl/order_planner.hpp
@@ -9,24 +9,25 @@
 
 namespace sedgechute {
 
+/// \brief Rates and delays of orders to engines.
 struct planner_policy {
   std::uint32_t models_per_engine{2};
-  double loads_per_s{0.2}; ///< what the weight store allows this pool
+  double loads_per_s{0.2}; ///< rate at which this pool may fetch from the weight store
   double load_burst{2.0};
-  std::uint32_t most_open{4};  ///< orders without an answer at once
-  time_ms repeat_after{5000};  ///< without an answer
-  time_ms shown_within{30000}; ///< a done order is given again if no report shows it by then
-  time_ms retry_after{30000};  ///< after a failure
-  time_ms settle{20000};       ///< a lower goal must last this long before anything is unloaded
+  std::uint32_t most_open{4};  ///< orders in flight at once
+  time_ms repeat_after{5000};  ///< delay until an unanswered order is resent
+  time_ms shown_within{30000}; ///< an order answered `done` is resent if no report shows it by then
+  time_ms retry_after{30000};  ///< backoff after a failed order
+  time_ms settle{20000};       ///< time that a lower goal must persist before it applies
   std::size_t records_kept{256};
 };
 
-/// \brief How an engine answered an order.
+/// \brief An engine's answer to an order.
 enum class order_answer {
   done,
   failed,
-  newer_epoch, ///< it has seen a higher fencing number
-  rate_limited ///< the weight store is busy
+  newer_epoch, ///< the engine has seen a higher fencing number
+  rate_limited ///< the weight store is overloaded
 };
 
 template <>
@@ -38,32 +39,34 @@
                                 {order_answer::rate_limited, "rate_limited"}});
 };
 
-/// \brief Plans the orders of one pool on the host that decides about it. Not thread-safe.
+/// \brief Plans the orders to the engines of one pool, on the host that holds the pool's claim. Not
+/// thread-safe.
 ///
-/// Orders are made by comparing what engines report with what is wanted, so losing an engine, a
-/// message or the former decider needs no repair of its own: the next round sees the difference.
+/// Each round derives orders from the difference between the engines' reports and the goal, so the
+/// loss of an engine, a message or the former decider needs no recovery of its own.
 class order_planner {
  public:
   explicit order_planner(planner_policy policy = {});
 
-  /// \brief The epoch under which this host decides; 0 when it does not.
+  /// \brief Sets the epoch under which this host decides; 0 if it does not.
   void set_epoch(std::uint64_t epoch);
 
-  /// \brief Orders to send now, repeats included. To be called about once a second.
+  /// \returns the orders to send now, resends included. Call it about once a second.
   [[nodiscard]] std::vector<engine_order> plan(const pool_goal& goal,
                                                std::span<const engine_view> engines, time_ms now);
 
-  /// \brief Orders that change nothing and make this epoch known to engines that honour fencing
-  /// and have not heard of it. To be sent before those of `plan`.
+  /// \returns orders that change nothing and announce this epoch to engines that have not confirmed
+  /// it; for pools whose engines check fencing numbers. Send them before those of `plan`.
   [[nodiscard]] std::vector<engine_order> introductions(std::span<const engine_view> engines,
                                                         time_ms now);
 
-  /// \param retry_after  asked for by the weight store
+  /// \brief Applies an engine's answer.
+  /// \param retry_after  delay requested by the weight store
   void note_answer(std::uint64_t order, order_answer answer, time_ms retry_after, time_ms now);
 
-  /// \returns the latest orders with their reasons, oldest first
+  /// \returns the latest orders, oldest first
   [[nodiscard]] const std::deque<order_record>& records() const noexcept { return records_; }
-  /// \returns what is wanted but not ordered, and why
+  /// \returns the changes that the last round wanted but withheld, with the reason
   [[nodiscard]] const std::vector<std::string>& withheld() const noexcept { return withheld_; }
   [[nodiscard]] std::uint64_t epoch() const noexcept { return epoch_; }
   [[nodiscard]] const planner_policy& policy() const noexcept { return policy_; }
@@ -71,13 +74,13 @@
  private:
   struct engine_state {
     const engine_view* view{};
-    std::vector<loadable> held; ///< with open orders as if done
-    bool busy{};                ///< has an open order
+    std::vector<loadable> held; ///< items after all orders in flight are done
+    bool busy{};                ///< has an order in flight
   };
 
   struct item_state {
     std::uint32_t wanted{}; ///< goal in force
-    std::uint32_t lower{};  ///< lower goal that has to last first
+    std::uint32_t lower{};  ///< lower goal that must persist before it applies
     time_ms lower_since;
   };
 
--- a/src/routing/impl/pool_claims.hpp
+++ b/src/routing/impl/pool_claims.hpp
@@ -10,14 +10,15 @@
 
 namespace sedgechute {
 
-/// \brief Log record by which a host becomes the one that gives a pool's orders.
+/// \brief Log record by which a host becomes the decider of a pool, which sends orders to its
+/// engines.
 struct pool_claim {
   pool_id pool;
   incarnation claimant;
-  std::uint64_t replaces{}; ///< the epoch that ends by it; 0 for a pool that never had one
+  std::uint64_t replaces{}; ///< epoch that the claim ends; 0 for a pool without one
 };
 
-/// \brief Who decides about a pool, and under which fencing number.
+/// \brief The host that decides about a pool, and its epoch, which is the fencing number.
 struct pool_decider {
   incarnation host;
   std::uint64_t epoch{}; ///< offset of the winning claim
@@ -29,30 +30,30 @@
   pool_decider decider;
 };
 
-/// \brief Who decides about each pool, by replay of the log. A claim that replaces another epoch
-/// than the one in force is void, so of two hosts that claim at once the first in the log wins, and
-/// the repeat of an append whose answer was lost changes nothing.
+/// \brief The decider of each pool, by replay of the log. A claim is void unless it replaces the
+/// current epoch, so the first of two concurrent claims in the log wins, and an append that is
+/// repeated because its acknowledgement was lost has no effect.
 class pool_claims {
  public:
   pool_claims() = default;
-  /// \brief Goes on from a checkpoint.
+  /// \brief Restores a checkpoint.
   explicit pool_claims(std::span<const decided_pool> decided);
 
-  /// \returns whether the claim won
+  /// \returns whether the claim took effect
   bool apply(const pool_claim& claim, std::uint64_t offset);
 
-  /// \returns the decider, or null if the pool never had one
+  /// \returns the decider, or null if nobody has claimed the pool
   [[nodiscard]] const pool_decider* decider(const pool_id& pool) const;
 
-  /// \returns every decider, in the order of pools
+  /// \returns every decider, sorted by pool
   [[nodiscard]] std::vector<decided_pool> decided() const;
 
   /// \returns the epoch if `self` decides about the pool, else 0
   [[nodiscard]] std::uint64_t epoch_of(const pool_id& pool, const incarnation& self) const;
 
-  /// \brief The claim that `self` should append now, if the pool's decider is gone and `self` is
-  /// first in line. Several hosts may think so at once; the log decides.
-  /// \param live  incarnations that are alive, as this host sees it
+  /// \returns the claim that `self` should append now, or nothing unless the pool's decider is gone
+  /// and `self` is first in rendezvous order. Hosts with different views may claim at once; the
+  /// first claim in the log wins. \param live  incarnations that are alive in this host's view
   [[nodiscard]] std::optional<pool_claim> due_claim(const pool_id& pool, const incarnation& self,
                                                     std::span<const incarnation> live) const;
 
--- a/src/routing/impl/quarantine.hpp
+++ b/src/routing/impl/quarantine.hpp
@@ -9,45 +9,47 @@
 
 namespace sedgechute {
 
-/// \brief Stable hash of what an engine is asked to run: model and prompt, without the caller.
+/// \brief Stable hash of a request's model and prompt, independent of the caller.
 using content_fingerprint = std::uint64_t;
 
+/// \brief Thresholds and durations of the quarantine.
 struct quarantine_policy {
-  std::uint32_t endpoints_lost{2}; ///< that the same content must have ended
-  std::size_t mass_deaths{3};      ///< endpoints that ended together and count as one outage
+  std::uint32_t endpoints_lost{2}; ///< endpoint deaths that quarantine a content
+  std::size_t mass_deaths{3};      ///< deaths within `mass_window` that count as one outage
   time_ms mass_window{4000};
-  time_ms suspicion{600000}; ///< how long an ended endpoint counts
-  time_ms sentence{3600000}; ///< how long a quarantine lasts
+  time_ms suspicion{600000}; ///< age at which an endpoint's death no longer counts
+  time_ms sentence{3600000}; ///< duration of a quarantine
   std::size_t most_suspects{4096};
-  std::size_t completed_kept{4096}; ///< contents that came through lately
+  std::size_t completed_kept{4096}; ///< recently completed contents to remember
 };
 
-/// \brief One run of some content that was cut off because its endpoint ended.
+/// \brief A run of some content that was cut off by the death of its endpoint.
 struct death_evidence {
   content_fingerprint content{};
   endpoint_id endpoint;
-  std::uint64_t life{}; ///< the endpoint's incarnation, 0 when not known
-  time_ms ran_for;      ///< from dispatch to the end
-  time_ms age;          ///< since the end
+  std::uint64_t life{}; ///< the endpoint's incarnation; 0 if unknown
+  time_ms ran_for;      ///< from dispatch to the death
+  time_ms age;          ///< since the death
 };
 
-/// \brief A run of suspected content came through, so the content does not end what runs it.
+/// \brief Evidence that suspected content is harmless: a run of it survived.
 struct acquittal {
   content_fingerprint content{};
   time_ms age;
 };
 
-/// \brief A quarantine as hosts pass it on. Spans, not instants: clocks differ.
+/// \brief A quarantine as sent between hosts. Times are durations because clocks differ.
 struct quarantine_record {
   content_fingerprint content{};
-  std::uint32_t version{}; ///< raised by each change; the higher one holds, at a tie the lifted one
+  std::uint32_t
+      version{}; ///< incremented by each change; the higher one wins, at a tie the lifted one
   bool lifted{};
   time_ms remaining;
-  std::vector<endpoint_id> endpoints; ///< ended by it, for the operator
+  std::vector<endpoint_id> endpoints; ///< endpoints that died while running it, for operators
 };
 
-/// \brief What a host has to tell the others, at once rather than at the next round: the caller of
-/// a cut request sends it again within a second, by any host.
+/// \brief Evidence and verdicts for the other hosts. It is sent at once rather than in the next
+/// round, because the caller of a cut request resends it within a second, through any host.
 struct quarantine_news {
   std::vector<death_evidence> deaths;
   std::vector<acquittal> acquittals;
@@ -58,10 +60,10 @@
   }
 };
 
-/// \brief How a request with this content may run.
+/// \brief Whether and where a request with some content may run.
 enum class content_standing {
   clear,
-  suspect,     ///< only on an endpoint with no other suspect
+  suspect,     ///< on an endpoint without another suspect
   quarantined, ///< not at all
 };
 
@@ -73,41 +75,42 @@
                                     {content_standing::quarantined, "quarantined"}});
 };
 
-/// \brief One run that was on an endpoint when it ended.
+/// \brief A run that was on an endpoint when the endpoint died.
 struct cut_run {
   content_fingerprint content{};
   time_ms ran_for;
 };
 
-/// \brief Content that ends the endpoints which run it, judged from the evidence of all hosts. Not
-/// thread-safe; needs a lock of rank `endpoints`.
+/// \brief Detects content that crashes the endpoints which run it, from the evidence of all hosts,
+/// and quarantines it. Not thread-safe; needs a lock of rank `endpoints`.
 class quarantine_table {
  public:
   explicit quarantine_table(quarantine_policy policy = {});
 
-  /// \brief An endpoint ended with these runs of this host on it; to be called without runs, too.
+  /// \brief Records the death of an endpoint and this host's runs on it. Call it without runs as
+  /// well: deaths without a suspect show a mass outage.
   void note_death(const endpoint_id& endpoint, std::uint64_t life, std::span<const cut_run> runs,
                   time_ms now);
 
-  /// \brief A run of this content has come through, or has got this far.
+  /// \brief Records that a run of this content has completed or has lasted this long.
   void note_survived(content_fingerprint content, time_ms ran_for, bool completed, time_ms now);
 
-  /// \brief An operator's word that the content is harmless.
-  /// \returns whether it was in quarantine
+  /// \brief Lifts a quarantine on an operator's request.
+  /// \returns whether the content was quarantined
   bool lift(content_fingerprint content, time_ms now);
 
-  /// \brief Takes in another host's news.
+  /// \brief Merges another host's news.
   void merge(const quarantine_news& news, time_ms now);
 
-  /// \returns what has to be sent to all hosts since the last call
+  /// \returns the news for all other hosts since the last call
   [[nodiscard]] quarantine_news take_news();
 
   [[nodiscard]] content_standing standing(content_fingerprint content) const;
 
-  /// \brief Drops what has expired. To be called about once a second.
+  /// \brief Drops expired evidence and verdicts. Call it about once a second.
   void expire(time_ms now);
 
-  /// \returns the verdicts, lifted ones included, for hosts that have just started
+  /// \returns all verdicts, lifted ones included, for a host that has just started
   [[nodiscard]] std::vector<quarantine_record> records(time_ms now) const;
   [[nodiscard]] std::size_t suspects() const noexcept { return suspects_.size(); }
 
--- a/src/routing/impl/queued_work.hpp
+++ b/src/routing/impl/queued_work.hpp
@@ -4,54 +4,54 @@
 
 namespace sedgechute {
 
-/// \brief One request as the queue sees it.
+/// \brief A request to enqueue.
 struct queued_work {
-  std::uint64_t ticket{}; ///< the caller's number for it, unique in the queue
+  std::uint64_t ticket{}; ///< number assigned by the caller, unique in the queue
   work_class kind{work_class::standard};
   double cost{1.0}; ///< expected cost in tokens
-  time_ms deadline; ///< latest useful start
+  time_ms deadline; ///< latest start
 };
 
-/// \brief The request that would start next.
+/// \brief The request at the head of the queue.
 struct queue_head {
   std::uint64_t ticket{};
   work_class kind{work_class::standard};
-  bool beyond_share{}; ///< its team takes more than its share of a pool that is short
-  double excess{};     ///< how far, 0..1
+  bool beyond_share{}; ///< its team exceeds its share of an overloaded pool
+  double excess{};     ///< how far the team exceeds its share, 0..1
   time_ms waited;
 };
 
-/// \brief Which requests `head` and `dequeue` consider.
+/// \brief Selects the requests that `head` and `dequeue` consider.
 struct queue_filter {
-  work_class last{work_class::long_running}; ///< the least urgent class
-  bool beyond_share{true};                   ///< teams beyond their share, too
+  work_class last{work_class::long_running}; ///< least urgent class to consider
+  bool beyond_share{true};                   ///< include teams beyond their share
 };
 
-/// \brief A request that may go to an endpoint now. Keep it and hand it to `fair_queue::settle`.
+/// \brief A started request. Pass it to `fair_queue::settle` when the request ends.
 struct work_grant {
   std::uint64_t ticket{};
   std::uint32_t team_slot{};
   work_class kind{work_class::standard};
-  double cost{}; ///< what the team was charged so far
+  double cost{}; ///< charged to the team so far
   bool beyond_share{};
   time_ms waited; ///< time in the queue
 };
 
-/// \brief The queue's answer to a new request, given at once.
+/// \brief Result of `fair_queue::enqueue`.
 struct admission {
   bool admitted{};
-  error_kind refusal{error_kind::internal}; ///< when not admitted
-  time_ms retry_after;                      ///< when not admitted: least wait worth trying again
-  time_ms expected_wait;                    ///< when admitted
+  error_kind refusal{error_kind::internal}; ///< if not admitted
+  time_ms retry_after;                      ///< if not admitted: shortest useful delay of a retry
+  time_ms expected_wait;                    ///< if admitted
 };
 
-/// \brief What a queue can tell of itself.
+/// \brief Totals of a queue.
 struct queue_figures {
   std::size_t queued{};
   double queued_cost{};
   std::size_t running{};
   double running_cost{};
-  double rate{}; ///< cost started per second while there was a queue; 0 when not known yet
+  double rate{}; ///< cost started per second while requests waited; 0 if unknown
 };
 
 } // namespace sedgechute
--- a/src/routing/impl/routing_message.hpp
+++ b/src/routing/impl/routing_message.hpp
@@ -8,9 +8,8 @@
 
 namespace sedgechute {
 
-/// \brief What a host tells another about routing: demand about once a second, its use of endpoints
-/// more often, news of quarantines at once. Any part may be empty; all may be lost, repeated or
-/// reordered.
+/// \brief Message between hosts: demand about once a second, use of endpoints more often,
+/// quarantine news at once. Any part may be empty; messages may be lost, duplicated or reordered.
 struct routing_message {
   std::vector<share_report> shares;
   quarantine_news news;
--- a/src/routing/impl/run_lengths.hpp
+++ b/src/routing/impl/run_lengths.hpp
@@ -10,16 +10,16 @@
 
 namespace sedgechute {
 
-/// \brief How long requests took of late, by kind. Not thread-safe.
+/// \brief Durations of recent requests, by kind. Not thread-safe.
 class run_lengths {
  public:
   void note(const std::string& kind, time_ms length);
-  /// \returns the length that `percent` of 100 of the last requests kept to; nothing before there
-  /// are enough
+  /// \returns the duration within which `percent` of the recent requests ended, or nothing if too
+  /// few are recorded
   [[nodiscard]] std::optional<time_ms> within(const std::string& kind, std::size_t percent) const;
 
  private:
-  // Some seconds of one kind at one host.
+  // Covers some seconds of one kind's requests at one host.
   static constexpr std::size_t kept = 64;
   struct ring {
     std::array<std::uint32_t, kept> lengths{}; ///< ms
--- a/src/routing/impl/share_answer.hpp
+++ b/src/routing/impl/share_answer.hpp
@@ -6,15 +6,16 @@
 
 namespace sedgechute {
 
-/// \brief Divides the sum of all hosts once and answers each host for the teams that it named.
+/// \brief Divides the sum of all hosts' reports once and answers each host for the teams that it
+/// named.
 ///
-/// An answer is as long as the report that it answers, however many teams the fleet has, and a plan
-/// made from it is the plan that the whole sum would give.
+/// An answer is as long as the report that it answers, regardless of the number of teams in the
+/// fleet, and yields the same plan as the whole sum.
 class share_answers {
  public:
   share_answers(share_report all, const share_policy& policy);
 
-  /// \param asked  a host's report, which is part of the sum
+  /// \param asked  a host's report that is included in the sum
   [[nodiscard]] share_report answer_to(const share_report& asked) const;
 
  private:
--- a/src/routing/impl/share_plan.hpp
+++ b/src/routing/impl/share_plan.hpp
@@ -7,107 +7,107 @@
 
 namespace sedgechute {
 
-/// \brief What one team wants from and got of a pool, in tokens per second.
+/// \brief One team's demand for and service by a pool, in tokens per second.
 struct team_demand {
   team_id team;
-  double wanted{}; ///< arriving, what was refused included
-  double served{}; ///< started over the last period
-  double queued{}; ///< tokens that wait
+  double wanted{}; ///< arrival rate, refused requests included
+  double served{}; ///< rate of started work over the last period
+  double queued{}; ///< waiting tokens
   double weight{1.0};
 };
 
-/// \brief What a report speaks of.
+/// \brief Which hosts a report covers.
 enum class share_scope : std::uint8_t {
-  host,        ///< one host's own demand
-  data_centre, ///< the sum of a data centre's hosts
-  fleet        ///< all hosts, for the teams that one host named; the rest in `others`
+  host,        ///< one host
+  data_centre, ///< sum of a data centre's hosts
+  fleet        ///< sum of all hosts; teams that the receiver did not name are in `others`
 };
 
-/// \brief What one host, or a group of hosts together, feeds into a pool.
+/// \brief Demand that one host or a group of hosts has for a pool.
 struct share_report {
   pool_id pool;
   incarnation from;
   std::uint64_t sequence{};
-  std::uint32_t hosts{1};         ///< hosts that it sums up
-  std::vector<team_demand> teams; ///< the largest demands
-  double urgent_queued{};         ///< tokens that wait, long_running work left out
-  team_demand others;             ///< the rest together; its team is empty
+  std::uint32_t hosts{1};         ///< number of hosts included
+  std::vector<team_demand> teams; ///< largest demands
+  double urgent_queued{};         ///< waiting tokens, except long_running work
+  team_demand others;             ///< sum of the other teams; its `team` is empty
   share_scope scope{};
-  double rate{}; ///< tokens per second that the queues start; 0 when not known
-  /// Of scope `fleet` only: demand of `others` that the division grants, and what those of them
-  /// that go beyond their share were served.
-  double others_granted{};
-  double others_beyond{};
+  double rate{};           ///< tokens per second that the queues start; 0 if unknown
+  double others_granted{}; ///< scope `fleet` only: granted to `others`
+  double others_beyond{};  ///< scope `fleet` only: served to those of `others` beyond their share
 };
 
-/// \brief Sums reports up, so that one host may speak for its group. At most `most_teams` are
-/// named; the rest is added to `others`.
+/// \returns the sum of the reports, with at most `most_teams` named teams and the rest in `others`
 [[nodiscard]] share_report merge_reports(std::span<const share_report> reports,
                                          std::size_t most_teams);
 
-/// \brief One team's part on this host.
+/// \brief One team's share of this host's service.
 struct team_share {
   team_id team;
   double weight{};   ///< for `fair_queue::set_share`
-  double fraction{}; ///< of the team's limits
-  /// How far the team goes beyond its share of a pool that is short, 0..1.
-  double excess{};
+  double fraction{}; ///< fraction of the team's limits that this host may use
+  double excess{};   ///< how far the team exceeds its share of an overloaded pool, 0..1
 };
 
+/// \brief One host's part of a pool.
 struct share_plan {
   double slots{};         ///< requests that this host may have at the pool's endpoints
-  double entitled_part{}; ///< of the pool, used by teams that are not beyond their share
+  double entitled_part{}; ///< fraction of the pool used by teams within their share
   std::vector<team_share> teams;
 };
 
-/// \brief A contract's weight in the pool.
+/// \brief A team's contracted weight in the pool.
 struct team_weight {
   team_id team;
   double weight{1.0};
 };
 
+/// \brief Parameters of the division of a pool.
 struct share_policy {
-  double floor_slots{1.0}; ///< that every host keeps, to start at once when work arrives
-  double feedback{0.5};    ///< how much of a team's measured error is made up for
+  double floor_slots{1.0}; ///< minimum credit of every host, so that arriving work starts at once
+  double feedback{0.5};    ///< gain of the correction of a team's service error
   double most_feedback{2.0};
-  double flood_from{1.3};      ///< times its share that a team asks for to count as beyond it
-  double least_entitled{0.25}; ///< part of the service of teams that do not flood, to protect them
-  double flood_range{0.5};     ///< times more until it counts in full
-  double beyond_from{0.95};    ///< times its share that a team was served to count as beyond it
-  /// Seconds of the pool's service that wait when it is short. Long work often waits by choice.
+  double flood_from{1.3};      ///< demand, as a multiple of its share, from which a team floods
+  double least_entitled{0.25}; ///< service fraction of other teams from which they are protected
+  double flood_range{0.5};     ///< increase of that multiple until `excess` is 1
+  double beyond_from{0.95}; ///< service, as a multiple of its share, from which a team exceeds it
+  /// Backlog from which a pool is overloaded, in seconds of its service: without long_running work,
+  /// and with it. Long work often waits by choice, so its bound is higher.
   double short_urgent_s{0.3};
   double short_queue_s{2.0};
-  std::size_t most_teams{64}; ///< named in a report
-  time_ms horizon{2000};      ///< in which a backlog counts as demand
-  time_ms silence{3500};      ///< after which a host's last report counts no more
+  std::size_t most_teams{64}; ///< teams named in a report
+  time_ms horizon{2000};      ///< time over which a backlog is spread as demand
+  time_ms silence{3500};      ///< age at which a host's last report expires
 };
 
-/// \brief What the plan is made from.
+/// \brief Input of `plan_shares`.
 struct share_inputs {
-  double pool_slots{}; ///< places at the endpoints that take work
-  double pool_rate{};  ///< tokens per second that the pool starts; 0 when not known
-  share_report own;    ///< this host's
-  share_report all;    ///< sum over all hosts, this one included
+  double pool_slots{}; ///< places at active endpoints
+  double pool_rate{};  ///< tokens per second that the pool starts; 0 if unknown
+  share_report own;    ///< this host's report
+  share_report all;    ///< sum over all hosts, including this one
 };
 
-/// \brief What the division of a pool gives one team.
+/// \brief One team's part in the division of a pool.
 struct team_grant {
   double granted{}; ///< tokens per second
-  bool beyond{};    ///< the team asks for so much more than its share that it counts as a flood
+  bool beyond{};    ///< the team's demand exceeds its share by `share_policy::flood_from`
 };
 
-/// \brief Divides a pool's rate over the teams of `all`: each its weighted share, no more than it
-/// wants, the rest to those that want more.
-/// \returns a grant for each of `all.teams`, in their order
+/// \brief Divides a pool's rate over the teams of `all` by weighted max-min fairness: no team gets
+/// more than its demand, and the remainder goes to those that demand more. \returns a grant for
+/// each of `all.teams`, in their order
 [[nodiscard]] std::vector<team_grant> divide_pool(const share_report& all,
                                                   const share_policy& policy);
 
-/// \returns what a team, or the others together, would start at once
+/// \returns the demand of a team, or of `others`, in tokens per second: its arrival rate and the
+/// backlog spread over the horizon
 [[nodiscard]] double demand_of(const team_demand& team, const share_policy& policy);
 
-/// \brief Divides a pool over the hosts that feed it. Each team gets its weighted share of the
-/// pool, no more than it wants; what is left goes to those that want more. A host gets for each
-/// team the part that its own demand has in the team's whole, and credit for the sum.
+/// \brief Divides a pool over the hosts that send to it. Teams are granted rates as in
+/// `divide_pool`. A host gets the part of each team's grant that corresponds to its part of the
+/// team's demand, and credit in proportion to the sum.
 [[nodiscard]] share_plan plan_shares(const share_inputs& inputs,
                                      std::span<const team_weight> weights,
                                      const share_policy& policy);
--- a/src/routing/impl/share_relay.hpp
+++ b/src/routing/impl/share_relay.hpp
@@ -7,43 +7,44 @@
 
 namespace sedgechute {
 
-/// \brief A live host, as far as reports need to know it.
+/// \brief A live host and its location.
 struct share_member {
   incarnation who;
   data_centre_id data_centre;
   bool leaving{};
 };
 
-/// \brief Reports for one receiver, to be sent together.
+/// \brief Reports to send to one host in one message.
 struct addressed_shares {
   incarnation to;
   std::vector<share_report> reports;
 };
 
-/// \brief Who tells whom what teams want and got. Not thread-safe.
+/// \brief Aggregates demand reports over the fleet in a two-level hierarchy. Not thread-safe.
 ///
-/// Each pool has one speaker in each data centre, chosen by rendezvous. Hosts report to it; it
-/// tells the other data centres' speakers the sum of its hosts, and answers each host for the teams
-/// that the host named. So what a host sends and gets does not grow with the fleet, and a speaker's
-/// grows with its data centre alone.
+/// Each pool has one aggregator per data centre, the speaker, chosen by rendezvous hashing. Hosts
+/// report to it; it sends the sum of its hosts to the other data centres' speakers and answers each
+/// host for the teams that the host named. A host's traffic therefore does not grow with the fleet,
+/// and a speaker's grows only with its data centre.
 class share_relay {
  public:
   share_relay(incarnation self, data_centre_id here, share_policy policy = {});
 
-  /// \brief Live hosts, this one included. What hosts said that are gone counts no more.
+  /// \brief Sets the live hosts, including this one, and drops the reports of all others.
   void set_members(std::vector<share_member> members, time_ms now);
 
-  /// \brief Another host's report, sum or answer.
+  /// \brief Applies another host's report, sum or answer.
   void merge(const share_report& report, time_ms now);
 
-  /// \brief Takes this host's demand and says what is due; to be called about once a second.
-  /// \param own  one report for each pool, also for those without demand
+  /// \brief Records this host's demand. Call it about once a second.
+  /// \param own  one report for each pool, including those without demand
+  /// \returns the reports to send now; empty between rounds
   [[nodiscard]] std::vector<addressed_shares> exchange(std::vector<share_report> own, time_ms now);
 
-  /// \returns what to plan from: the speaker's answer, or the sum of all that was heard
+  /// \returns `share_inputs::all` for the plan: the speaker's answer, or the sum of recent reports
   [[nodiscard]] share_report sum(const pool_id& pool, time_ms now) const;
 
-  /// \brief Time between reports: a second in fleets of up to 80 hosts, four from 330 on.
+  /// \returns the time between rounds: one second in fleets of up to 80 hosts, four from 330 on
   [[nodiscard]] time_ms interval() const;
 
  private:
@@ -51,12 +52,12 @@
     share_report report;
     time_ms at;
   };
-  /// By data centre. The one here is a speaker since `since`.
+  /// Speaker of each data centre; the local one has been speaker since `since`.
   struct pool_speakers {
     std::map<data_centre_id, incarnation> of;
     time_ms since;
   };
-  /// By pool, then by what is reported of.
+  /// By pool, then by reporting host or data centre.
   using host_reports = std::map<pool_id, std::map<host_id, heard_report>>;
   using centre_reports = std::map<pool_id, std::map<data_centre_id, heard_report>>;
 
@@ -76,9 +77,9 @@
   share_policy policy_;
   std::vector<share_member> members_;
   std::map<pool_id, pool_speakers> speakers_;
-  std::map<pool_id, share_report> own_;                   ///< newest
-  std::map<pool_id, std::vector<share_report>> measured_; ///< since the last round
-  std::map<pool_id, share_report> mean_;                  ///< of the last round
+  std::map<pool_id, share_report> own_;                   ///< latest report
+  std::map<pool_id, std::vector<share_report>> measured_; ///< reports since the last round
+  std::map<pool_id, share_report> mean_;                  ///< mean over the last round
   host_reports from_hosts_;
   centre_reports from_centres_;
   std::map<pool_id, heard_report> answers_;
--- a/src/routing/impl/slot_heap.hpp
+++ b/src/routing/impl/slot_heap.hpp
@@ -8,7 +8,7 @@
 
 namespace sedgechute {
 
-/// \brief A binary heap of slot numbers by key, least first, where a slot's key may change.
+/// \brief Binary min-heap of slot numbers with keys that can be updated.
 class slot_heap {
  public:
   [[nodiscard]] bool empty() const noexcept { return heap_.empty(); }
@@ -21,7 +21,7 @@
   /// \pre not empty
   [[nodiscard]] double top_key() const noexcept { return heap_.front().key; }
 
-  /// \brief Adds the slot or moves it to its new key.
+  /// \brief Inserts the slot or updates its key.
   void set(std::uint32_t slot, double key) {
     if (slot >= places_.size())
       places_.resize(slot + 1U, absent);
@@ -59,7 +59,7 @@
   };
   static constexpr std::uint32_t absent = std::numeric_limits<std::uint32_t>::max();
 
-  // Equal keys go by slot, so that a run is the same on every machine.
+  // Ties are broken by slot, so that the order is deterministic.
   [[nodiscard]] static bool before(const node& a, const node& b) noexcept {
     return a.key < b.key || (a.key == b.key && a.slot < b.slot);
   }
--- a/src/routing/impl/stall_policy.hpp
+++ b/src/routing/impl/stall_policy.hpp
@@ -4,11 +4,11 @@
 
 namespace sedgechute {
 
-/// \brief What an open exchange with an endpoint, a peer or the log is waiting for.
+/// \brief What an exchange with an endpoint, another host or the log waits for.
 enum class stall_stage {
   connect,
-  first_byte,    ///< sent; nothing has come back, not even a comment line
-  between_bytes, ///< something has come back before
+  first_byte,    ///< request sent, nothing received, not even a comment line
+  between_bytes, ///< part of the response received
 };
 
 template <>
@@ -19,30 +19,31 @@
                                {stall_stage::between_bytes, "between_bytes"}});
 };
 
-/// \brief Longest silence per stage before a probe. Engines send a comment line at least every
-/// 2 s, so the later stages allow for one lost and one late.
+/// \brief Longest silence per stage before a probe. Engines send a comment line at least every 2 s;
+/// the 5 s of the later stages tolerate one lost and one late line.
 struct stall_policy {
   time_ms connect{1000};
   time_ms first_byte{5000};
   time_ms between_bytes{5000};
-  time_ms probe{1500};           ///< longest wait for a probe's answer
-  std::uint32_t most_resumes{3}; ///< of one run, until it is given up
+  time_ms probe{1500};           ///< timeout of a probe
+  std::uint32_t most_resumes{3}; ///< reconnects of one run before it is given up
 };
 
-/// \brief One exchange as it is watched.
+/// \brief Stall detection state of one exchange.
 struct stall_watch {
   stall_stage stage{stall_stage::connect};
-  time_ms quiet_since; ///< last byte, or the start of the stage
+  time_ms quiet_since; ///< time of the last byte or the start of the stage
   bool probing{};
   time_ms probe_started;
   std::uint32_t resumes{};
 };
 
+/// \brief Next action on an exchange.
 enum class stall_step {
-  wait,      ///< look again at `at`
-  probe,     ///< open a new connection to the same endpoint and ask for its health
-  give_up,   ///< the endpoint is dead or cut off: a failed attempt
-  reconnect, ///< the old connection is at fault: close it and resume on a new one
+  wait,      ///< check again at `stall_decision::at`
+  probe,     ///< request the endpoint's health on a new connection
+  give_up,   ///< the endpoint is down or unreachable: the attempt has failed
+  reconnect, ///< the connection is broken: close it and resume on a new one
 };
 
 template <>
@@ -53,17 +54,18 @@
                                                           {stall_step::reconnect, "reconnect"}});
 };
 
+/// \brief Result of `check_stall`.
 struct stall_decision {
   stall_step step{stall_step::wait};
-  time_ms at; ///< when to look again
+  time_ms at; ///< time of the next check
 };
 
-/// \brief What a probe on a new connection showed.
+/// \brief Result of a probe on a new connection.
 enum class probe_result {
   pending,
-  answered,  ///< the endpoint is well
-  run_known, ///< the same, and it still has the run
-  failed,    ///< refused, reset or no answer in time
+  answered,  ///< the endpoint is healthy
+  run_known, ///< the endpoint is healthy and still has the run
+  failed,    ///< refused, reset or timed out
 };
 
 template <>
@@ -74,10 +76,10 @@
                                                             {probe_result::failed, "failed"}});
 };
 
-/// \brief A byte came in.
+/// \brief Records that bytes were received.
 void note_bytes(stall_watch& watch, time_ms now) noexcept;
 
-/// \brief Decides what a silent exchange needs now.
+/// \returns the next action on an exchange, by the length of its silence and the probe's result
 [[nodiscard]] stall_decision check_stall(stall_watch& watch, const stall_policy& policy,
                                          probe_result probe, time_ms now) noexcept;
 
--- a/src/routing/impl/stop_policy.hpp
+++ b/src/routing/impl/stop_policy.hpp
@@ -4,49 +4,49 @@
 
 namespace sedgechute {
 
-/// \brief What bounds the planned stop of a host. Spans count from the signal.
+/// \brief Durations of a host's graceful shutdown, counted from the signal.
 struct stop_bounds {
-  time_ms grace{8000}; ///< the process is killed after it
-  /// Until a balancer that looks once a second, and believes the second miss, sends callers to
-  /// other hosts.
+  time_ms grace{8000}; ///< after it the process is killed
+  /// Time until the load balancer sends callers to other hosts. A balancer that checks health once
+  /// a second acts on the second failed check.
   time_ms notice{2600};
-  /// At the end of the grace, for the last answers and the last words to store and log. Four
-  /// partitions are read and appended to in 120 ms when all is well.
+  /// Part of the grace, at its end, in which the last responses, store exchanges and log lines are
+  /// written. Without faults, reading and appending to four partitions takes 120 ms.
   time_ms kept_for_exit{500};
 };
 
-/// \returns when what still runs is cut.
+/// \returns when requests that still run are cut off
 [[nodiscard]] time_ms cut_after(const stop_bounds& bounds) noexcept;
 
-/// \brief How long a request is going to run.
+/// \brief Expected duration of a request.
 struct run_forecast {
-  time_ms likely; ///< most of its kind end within it
-  time_ms surely; ///< its own limit
+  time_ms likely; ///< most requests of its kind end within it
+  time_ms surely; ///< the request's own limit
 };
 
-/// \brief Decides about a request that comes `since` the signal.
+/// \returns whether a request that arrives `since` the signal is accepted
 [[nodiscard]] bool may_take(const stop_bounds& bounds, time_ms since,
                             const run_forecast& run) noexcept;
 
-/// \brief Decides whether the host may end now.
+/// \returns whether the host may exit now
 /// \param open  requests that arrive or run
 [[nodiscard]] bool may_end(const stop_bounds& bounds, time_ms since, std::size_t open) noexcept;
 
-/// \brief The longest that each step of the exit may take; together less than is kept for it.
+/// \brief Time limit of each step of the exit; the sum is less than `kept_for_exit`.
 struct exit_spans {
-  time_ms answers;  ///< callers take what was written to them
-  time_ms exchange; ///< the store takes tokens back
-  time_ms lines;    ///< the log's reader takes the last lines
+  time_ms answers;  ///< flushing responses to callers
+  time_ms exchange; ///< returning tokens to the store
+  time_ms lines;    ///< flushing log lines
 };
 
-/// \param since  the signal, when the exit begins
+/// \param since  time from the signal to the start of the exit
 [[nodiscard]] exit_spans spans_of_exit(const stop_bounds& bounds, time_ms since) noexcept;
 
-/// \brief Why bounds cannot be kept.
+/// \brief Contradiction between bounds.
 enum class stop_fault {
   none,
-  no_time,        ///< all of the grace is kept for the exit
-  notice_too_long ///< requests would be cut within the notice
+  no_time,        ///< the exit takes all of the grace
+  notice_too_long ///< requests would be cut off within the notice
 };
 
 [[nodiscard]] stop_fault fault_of(const stop_bounds& bounds) noexcept;
--- a/src/routing/impl/team_limits.hpp
+++ b/src/routing/impl/team_limits.hpp
@@ -4,17 +4,17 @@
 
 namespace sedgechute {
 
-/// \brief A team's share of a pool and its limits there. A limit of 0 means none. The limits hold
-/// over all hosts; `fraction` is the part of them that this host may use.
+/// \brief A team's weight in a pool and its limits there; 0 means no limit. The limits apply to the
+/// whole fleet.
 struct team_limits {
-  double weight{1.0};               ///< share relative to the other teams with work
-  double tokens_per_s{0.0};         ///< rate of cost, in tokens
+  double weight{1.0};               ///< share relative to other teams with requests
+  double tokens_per_s{0.0};         ///< rate of cost
   double requests_per_s{0.0};       ///< rate of requests
-  double burst_s{2.0};              ///< seconds of rate that may be used at once
-  std::uint32_t max_running{0};     ///< requests at endpoints at once
-  std::uint32_t max_queued{0};      ///< requests waiting at once
-  std::uint64_t max_queued_cost{0}; ///< tokens waiting at once
-  double fraction{1.0};             ///< this host's part of the limits above
+  double burst_s{2.0};              ///< burst, in seconds of the rates
+  std::uint32_t max_running{0};     ///< concurrent requests at endpoints
+  std::uint32_t max_queued{0};      ///< waiting requests
+  std::uint64_t max_queued_cost{0}; ///< waiting tokens
+  double fraction{1.0};             ///< fraction of the limits that this host may use
 };
 
 } // namespace sedgechute
--- a/src/routing/impl/token_bucket.hpp
+++ b/src/routing/impl/token_bucket.hpp
@@ -4,18 +4,19 @@
 
 namespace sedgechute {
 
-/// \brief A rate limit with a burst. A charge larger than the burst passes when the bucket is full
-/// and is then paid off, so that no admissible request waits forever.
+/// \brief Token bucket rate limiter. A charge larger than the burst passes when the bucket is full
+/// and leaves a negative level, so that a large request does not wait forever.
 class token_bucket {
  public:
+  /// \brief Sets the rate and burst; a new bucket starts full.
   /// \param rate   units per second; 0 means no limit
   /// \param burst  units that may be taken at once
   void configure(double rate, double burst, time_ms now) noexcept;
 
-  /// \returns the wait until `amount` could be taken; zero if it could be now
+  /// \returns the time until `amount` can be taken; zero if it can be taken now
   [[nodiscard]] time_ms wait_for(double amount, time_ms now) const noexcept;
 
-  /// \brief Takes `amount` regardless of the level; a negative amount gives back.
+  /// \brief Takes `amount` regardless of the level; a negative amount is refunded.
   void take(double amount, time_ms now) noexcept;
 
  private:
--- a/src/routing/impl/use_report.hpp
+++ b/src/routing/impl/use_report.hpp
@@ -10,22 +10,22 @@
 struct endpoint_use {
   endpoint_id endpoint;
   std::uint32_t running{};
-  unread_by_urgency unread{}; ///< prompt tokens not read yet
+  unread_by_urgency unread{}; ///< prompt tokens not prefilled yet
 };
 
-/// \brief A prompt prefix that one host has just sent to an endpoint.
+/// \brief A prompt prefix that a host has sent to an endpoint.
 struct prefix_place {
-  std::uint64_t block{}; ///< hash of its last block that is recorded
+  std::uint64_t block{}; ///< chained hash of its longest recorded length
   endpoint_id endpoint;
 };
 
-/// \brief A host's requests at the endpoints, told as they change where hosts are few.
+/// \brief A host's requests at all endpoints. In small fleets it is sent on each change.
 struct use_report {
   incarnation from;
   std::uint64_t sequence{};
-  bool whole{true}; ///< endpoints left out have none; else they are as before
+  bool whole{true}; ///< absent endpoints have no requests; if false, theirs are unchanged
   std::vector<endpoint_use> uses;
-  std::vector<prefix_place> places; ///< since the last report
+  std::vector<prefix_place> places; ///< prefixes sent since the last report
 };
 
 } // namespace sedgechute
--- a/src/routing/impl/work_class.hpp
+++ b/src/routing/impl/work_class.hpp
@@ -6,16 +6,16 @@
 
 namespace sedgechute {
 
-/// \brief How soon a team wants its work: the order of the list is the order of service.
+/// \brief Latency class of a request, in order of service.
 enum class work_class {
-  interactive, ///< chat: the first token is waited for
+  interactive, ///< chat: latency of the first token matters
   standard,    ///< tags, summaries, plain calls
   long_running ///< drafts and reports: may start late, must finish
 };
 
 inline constexpr std::size_t work_class_count = 3;
 
-/// \returns the class of a priority as contracts and engines state it: 0 first, 9 last
+/// \returns the class of a priority in contracts and engine requests, from 0 (first) to 9 (last)
 [[nodiscard]] constexpr work_class class_of_priority(std::int64_t priority) noexcept {
   constexpr std::int64_t last_interactive = 2;
   constexpr std::int64_t last_standard = 6;
@@ -36,15 +36,15 @@
   return static_cast<work_class>(static_cast<int>(kind) + 1);
 }
 
-/// \brief Rank of a request in what waits anywhere: 0 first. Teams within their share come before
-/// those beyond it, then the class decides.
+/// \brief Number of urgencies. An urgency is the rank of a waiting request, 0 first: teams within
+/// their share precede those beyond it, then the class decides.
 inline constexpr std::size_t urgency_count = 2 * work_class_count;
 
 [[nodiscard]] constexpr std::size_t urgency_of(work_class kind, bool beyond_share) noexcept {
   return static_cast<std::size_t>(kind) + (beyond_share ? work_class_count : 0);
 }
 
-/// \returns the priority to state to engines, 0 first and 9 last
+/// \returns the priority for engines, from 0 (first) to 9 (last)
 [[nodiscard]] constexpr std::uint32_t engine_priority(std::size_t urgency) noexcept {
   constexpr std::uint32_t priorities[urgency_count] = {0, 2, 4, 5, 7, 9};
   return priorities[urgency];
--- a/src/routing/routing.hpp
+++ b/src/routing/routing.hpp
@@ -3,25 +3,28 @@
 /// \file
 /// \brief Routing policies: fair queues, shares, choice of endpoint, retries, stalls, quarantine.
 ///
-/// Everything here is pure: time and randomness are arguments. A daemon holds one `fair_queue` per
-/// pool under a lock of rank `queues`, and one `endpoint_table` and one `quarantine_table` under
-/// locks of rank `endpoints`, and drives them like this.
+/// The library performs no I/O and reads no clock: time and randomness are arguments. A daemon
+/// holds one `fair_queue` per pool under a lock of rank `queues`, and one `endpoint_table` and one
+/// `quarantine_table` under locks of rank `endpoints`, and calls them as follows.
 ///
-/// A request comes in:
+/// When a request arrives:
 /// ```cpp
 /// if (suspects.standing(content) == content_standing::quarantined)
-/// refuse(error_kind::quarantined); const admission a = queue.enqueue(team, {ticket, kind, cost,
-/// latest_start}, now); if (!a.admitted) refuse(a.refusal, a.retry_after);   // at once pump(pool);
+///   refuse(error_kind::quarantined);
+/// const admission a = queue.enqueue(team, {ticket, kind, cost, latest_start}, now);
+/// if (!a.admitted)
+///   refuse(a.refusal, a.retry_after);
+/// pump(pool);
 /// ```
-/// Whenever a request came in, one ended, or a report arrived:
+/// After each arrival, each completion and each load report:
 /// ```cpp
 /// for (ticket : queue.expire(now)) refuse(ticket, error_kind::deadline_unreachable);
 /// queue_filter filter;
 /// while (const auto head = queue.head(now, filter)) {
 ///   const auto choice = choose_endpoint(table, need_of(head->ticket), here, random, now);
-///   if (!choice) break;                   // nothing can take it; try again at the next event
+///   if (!choice) break;                   // no endpoint can run it; retry at the next event
 ///   if (!may_start(queue, *head, *choice, policy)) {
-///     if (!narrow(filter, *head)) break;  // what can wait does not hold up what cannot
+///     if (!narrow(filter, *head)) break;  // consider more urgent requests
 ///     continue;
 ///   }
 ///   const work_grant grant = *queue.dequeue(now, filter);
@@ -29,24 +32,24 @@
 ///   send(grant, attempt, choice->endpoint, engine_priority(attempt.urgency));
 /// }
 /// ```
-/// During the run: `table.first_token(attempt, now)`, `check_stall(...)`; at its end
+/// While an attempt runs: `table.first_token(attempt, now)` and `check_stall(...)`. When it ends:
 /// `table.end(attempt, need, {outcome, output_tokens, cached_tokens}, now)` and
 /// `queue.settle(grant, real_cost, now)`; after success `budget.note_success(now)` and
 /// `suspects.note_survived(content, ran_for, true, now)`; after failure `decide_retry(...)`, and if
-/// the endpoint ended, `suspects.note_death(endpoint, life, runs_on_it, now)`.
+/// the endpoint terminated, `suspects.note_death(endpoint, life, runs_on_it, now)`.
 ///
-/// Once a second: `table.review(now)`, `suspects.expire(now)`, and per pool
-/// `shares.measure(queue, now)` to the other hosts, whose reports go to `shares.merge(report,
-/// now)`, then `shares.apply_plan(queue, table.load_of(pool).places, now)`, and
-/// `table.set_senders(hosts)` with the other hosts that feed the pools. Where these are few (up to
-/// about 16), what `table.due_use` gives every 20 ms goes to them, and theirs to `table.apply_use`:
-/// load reports are seconds old, and without the others' own word two hosts choose the same place.
-/// `suspects.take_news()` goes to all hosts as soon as it is not empty. All travel as a
-/// `routing_message`.
+/// Once a second: `table.review(now)`, `suspects.expire(now)` and `table.set_senders(hosts)` with
+/// the other hosts that send to the pools; per pool, `shares.measure(queue, now)` gives the report
+/// for the other hosts, `shares.merge(report, now)` takes theirs, and
+/// `shares.apply_plan(queue, table.load_of(pool).places, now)` applies the result. With up to about
+/// 16 such hosts, the reports of `table.due_use`, called every 20 ms, go to them, and theirs to
+/// `table.apply_use`: load reports are seconds old, and without direct reports two hosts choose the
+/// same free place. `suspects.take_news()` goes to all hosts as soon as it is not empty. All of
+/// these are sent as a `routing_message`.
 ///
-/// Orders to engines: `pool_claims` replays `pool_claim` records; when `due_claim` gives one,
-/// append it. The host whose `epoch_of` is not 0 hands it to its `order_planner` by `set_epoch`,
-/// sends what `plan` returns and hands each engine's answer to `note_answer`.
+/// Orders to engines: `pool_claims` replays `pool_claim` records; a claim that `due_claim` returns
+/// is appended to the log. The host whose `epoch_of` is not 0 passes it to its `order_planner` with
+/// `set_epoch`, sends the orders of `plan` and passes each engine's answer to `note_answer`.
 
 #include "routing/impl/attempt_rule.hpp"
 #include "routing/impl/choose_endpoint.hpp"
