--- a/src/routing/impl/attempt_rule.cpp
+++ b/src/routing/impl/attempt_rule.cpp
@@ -2,8 +2,9 @@
 
 namespace sedgechute {
 
-// Part of one run's answer is with the caller: another run's must never follow it. And what may
-// have run is done again only where that does no harm: a doubled order is a real parcel.
+// Once the caller has part of one run's response, the response of another run must not follow it. A
+// request that may have run is repeated only if that is safe: a duplicated order ships a second
+// parcel.
 bool may_attempt_again(const failed_so_far& request) noexcept {
   const bool safe = !request.may_have_run || request.harmless_twice;
   return safe && !request.answer_begun && request.attempts < request.most_attempts;
--- a/src/routing/impl/choose_endpoint.cpp
+++ b/src/routing/impl/choose_endpoint.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t most_candidates = 48;
 constexpr double ms_per_s = 1000.0;
-constexpr double tie_break_ms = 2.0; // hosts with the same view must not all choose the same
+constexpr double tie_break_ms = 2.0; // hosts with the same data must not all choose the same
 constexpr std::uint32_t tries_per_draw = 4;
 constexpr double avoided_ms = 1e7;
 constexpr double no_room_ms = 1e5;
@@ -26,7 +26,7 @@
   time_ms cached_age{};
 };
 
-/// The request and what is derived from it once.
+/// The request and values derived from it.
 struct question {
   const endpoint_table& table;
   const route_need& need;
@@ -74,7 +74,7 @@
   double total_ms{};
 };
 
-// Mean of max(0, -x) for a normal x with this mean and a deviation of 1.
+// Mean of max(0, -x) for a normally distributed x with this mean and a standard deviation of 1.
 double normal_loss(double mean) {
   constexpr double inverse_root_two_pi = 0.3989422804014327;
   constexpr double inverse_root_two = 0.7071067811865475;
@@ -82,9 +82,9 @@
   return density - mean * 0.5 * std::erfc(mean * inverse_root_two);
 }
 
-// The number of free places is known only as of some time ago; since then requests came and went
-// at random, so its deviation grows with the root of their number. The expected wait is that for
-// the mean excess over the places.
+// The number of free places is outdated. Requests have started and ended at random since, so its
+// standard deviation grows with the square root of their number. The expected wait is computed from
+// the mean number of requests in excess of the places.
 double wait_for_place_ms(const question& asked, const load_estimate& load, double room) {
   const double places = load.last_report().max_running;
   const double stale_ms = static_cast<double>(load.staleness(asked.now).count());
@@ -109,7 +109,7 @@
     result.queue_ms = wait_for_place_ms(asked, known.load, room);
   const std::size_t urgency = reading_urgency(asked.need, unread, policy);
   const double before = known.load.unread_before(urgency);
-  // An engine that reads a less urgent prompt first ends the chunk that it is at.
+  // An engine that prefills a less urgent prompt finishes the current chunk first.
   const double after = known.load.unread_before(urgency_count - 1) - before;
   const double chunk = std::min(after, policy.chunk_tokens) / 2.0;
   result.queue_ms += (before + chunk) / rate * ms_per_s;
@@ -122,8 +122,8 @@
   const choice_policy& policy = asked.table.policy();
   const double places = std::max(1.0, static_cast<double>(known.load.last_report().max_running));
   const double crowding = std::min(1.0, known.load.at_endpoint() / places);
-  // A replica that has lately been much slower than expected is expected to be so again; up to
-  // twice as slow is what unseen work of other hosts makes of any.
+  // A replica that was much slower than expected lately is expected to be slow again. A factor of
+  // up to two is not penalised: unknown requests of other hosts slow down any replica that much.
   const double slower = std::max(1.0, slowness(known.health) - tolerated_slowness);
   double score = expected.total_ms * slower + crowding * policy.crowding_ms +
                  2.0 * asked.table.distance_ms(known.data_centre);
@@ -131,7 +131,7 @@
     score += avoided_ms;
   if (asked.need.only_with_room && known.load.room() < 1.0)
     score += no_room_ms;
-  // Two suspects on one endpoint that ends could not be told apart.
+  // If an endpoint dies with two suspects on it, the culprit cannot be identified.
   if (asked.need.suspect != 0 && known.suspects > 0)
     score += avoided_ms;
   return score;
@@ -156,12 +156,13 @@
         found.add({slot, choice_reason::random, 0.0, {}});
 }
 
-// Certain up to half the usual life, impossible beyond one and a half.
+// Probability that a prefix is still cached, by its age as a multiple of the learned lifetime: 1 up
+// to half the lifetime, 0 beyond one and a half.
 double still_cached(double lives) {
   return std::clamp(1.5 - lives, 0.0, 1.0);
 }
 
-// Endpoints of which a prefix was seen; what was seen long ago is worth less.
+// Adds endpoints that probably cache a prefix; confidence decreases with age.
 void add_cached(const question& asked, time_ms now, candidate_list& found) {
   std::array<prefix_table::match, prefix_table::most_matches> matches;
   const std::size_t count = asked.table.prefixes().lookup(asked.need.blocks, now, matches);
@@ -178,8 +179,9 @@
   }
 }
 
-// The home of a prefix is the same on every host, so a conversation whose turns enter by different
-// hosts still meets its cache. The lengths are powers of two: they stay while a prompt grows.
+// Adds the endpoints on which consistent hashing places the prompt's prefix. All hosts compute the
+// same one, so a conversation whose turns enter through different hosts still hits its cache. The
+// prefix lengths are powers of two, so that they change rarely as a prompt grows.
 void add_homes(const question& asked, const endpoint_index::bucket& local, candidate_list& found) {
   const std::size_t blocks = asked.need.blocks.size();
   if (blocks == 0)
@@ -197,7 +199,8 @@
   }
 }
 
-// Hosts spread suspects by the same rule, so that two hosts seldom run two on one endpoint.
+// All hosts place a suspect by the same hash, so that two hosts rarely run two suspects on one
+// endpoint.
 void add_suspect_homes(const question& asked, const endpoint_index::group& group,
                        candidate_list& found) {
   for (const endpoint_index::bucket& bucket : group.buckets) {
@@ -311,13 +314,13 @@
   return std::nullopt;
 }
 
-// Chat finds a place at once only if some are left free, and reports are too old to say where. So
-// work that can wait leaves a few places at each endpoint, and goes on without them only once it
-// has waited: then the pool is full, and this host's credit says what it may take of it.
+// Interactive requests start at once only if some places are free, and load reports are too old to
+// show where. Less urgent work therefore leaves a few places free at each endpoint, and uses them
+// only after it has waited: the pool is full then, and this host's credit bounds its part.
 //
-// A team beyond its share leaves places to those within theirs, or a flood would fill all of them
-// and each other team's chat would wait for one to be given back. It leaves none when no team is
-// within its share: then nobody would use them.
+// A team beyond its share leaves places to teams within theirs. Otherwise its flood would fill all
+// places and interactive requests of every other team would wait for one. It leaves none if no team
+// is within its share, because the places would stay unused.
 bool may_start(const fair_queue& queue, const queue_head& head, const route_choice& choice,
                const start_policy& policy) noexcept {
   if (choice.queue_ms > policy.most_queue_ms[static_cast<std::size_t>(head.kind)])
--- a/src/routing/impl/endpoint_health.cpp
+++ b/src/routing/impl/endpoint_health.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double gain = 0.2;
-constexpr double small_ms = 30.0; // keeps ratios of tiny times from looking large
+constexpr double small_ms = 30.0; // damps ratios of very short times
 constexpr std::uint32_t most_doublings = 5;
 
 void moving_average(double& average, double value, std::uint32_t samples) {
@@ -51,7 +51,7 @@
           median(std::move(failures), 0.0)};
 }
 
-// How far beyond what is tolerated the endpoint is; below 1 it may stay.
+// Largest ratio of a metric to its tolerated value; from 1 on the endpoint is an outlier.
 double badness(const endpoint_health& health, const peer_medians& peers,
                const health_policy& policy) {
   double worst = slowness(health) / (std::max(1.0, peers.slowness) * policy.slow_ratio);
@@ -67,7 +67,7 @@
   return std::min(policy.most_ejection, policy.first_ejection * (std::int64_t{1} << doublings));
 }
 
-// A fresh trial: a few requests decide anew.
+// Reinstates the endpoint without its history, so that a few requests decide again.
 void take_back(endpoint_health& health) {
   health.state = endpoint_state::serving;
   health.samples = 0;
--- a/src/routing/impl/endpoint_table.cpp
+++ b/src/routing/impl/endpoint_table.cpp
@@ -16,8 +16,8 @@
 constexpr double most_life_ms = 3'600'000.0;
 constexpr double doubt_per_missed_event = 0.001;
 constexpr double most_doubt = 0.2;
-constexpr double proved = 1.0;   // confidence of the engine's own word
-constexpr double presumed = 0.9; // confidence of having sent the prompt there
+constexpr double proved = 1.0;   // confidence if the engine reported the prefix
+constexpr double presumed = 0.9; // confidence after sending the prompt there
 
 enum capability_kind : std::uint64_t { model_kind = 1, version_kind, adapter_kind };
 
@@ -35,9 +35,9 @@
   return all;
 }
 
-// An engine drops what was least recently used, so a prefix is there until a certain age, which
-// depends on the engine's memory and traffic. A miss bounds that age from above, a hit from below.
-// Misses of what was sent just now are left out: the first request's prompt was not yet read.
+// Engines evict the least recently used prefix, so a prefix is cached up to an age that depends on
+// the engine's memory and traffic. A miss bounds that age from above, a hit from below. Misses soon
+// after the prefix was sent are ignored: the first request's prompt was not prefilled yet.
 void learn_cache_life(double& life_ms, double age_ms, bool missed) {
   if (missed && age_ms > settled_age_ms && age_ms < life_ms)
     life_ms += miss_gain * (age_ms - life_ms);
@@ -225,8 +225,8 @@
     prefixes_.forget_one(block, *slot);
 }
 
-// Missed events may have been evictions, so what is believed to be cached is believed a little
-// less, until hits prove it again.
+// Missed events may have been evictions, so the confidence in the endpoint's cached prefixes drops
+// slightly until hits raise it again.
 void endpoint_table::note_cache_gap(const endpoint_id& id, std::uint64_t missed) {
   record* const known = find(id);
   if (known == nullptr)
--- a/src/routing/impl/endpoint_use.cpp
+++ b/src/routing/impl/endpoint_use.cpp
@@ -31,8 +31,8 @@
   use_started_ = use_started_ || started;
 }
 
-// Two hosts choose the same free place when neither has heard of the other's start, so starts are
-// told at once; an end that is told late leaves a place unused for a moment, which costs less.
+// Two hosts choose the same free place if neither knows of the other's start, so starts are
+// reported at once. An end that is reported late only leaves a place unused for a moment.
 std::optional<use_report> endpoint_table::due_use(const incarnation& self, time_ms now) {
   if (now - use_whole_told_ >= choice_.use_whole_every || use_sequence_ == 0) {
     use_whole_told_ = now;
@@ -58,8 +58,8 @@
   return report;
 }
 
-// The next turn of a conversation mostly enters by another host, which learns from this where the
-// last one went long before the engine's own events tell it.
+// The next turn of a conversation usually enters through another host. That host learns from this
+// record where the last turn went, long before the engine's cache events arrive.
 void endpoint_table::note_placed(std::span<const std::uint64_t> blocks,
                                  const endpoint_id& endpoint) {
   std::size_t length = blocks.size();
@@ -112,8 +112,8 @@
   update_view();
 }
 
-// One silent host is enough to make the sum of the others' words too small, and the endpoint would
-// look free; so all have to be heard.
+// If one host is silent, the sum of the use reports is too small and the endpoint appears free, so
+// the reports are used only while all hosts send them.
 void endpoint_table::update_view() {
   const bool all_heard =
       senders_known_ && std::ranges::all_of(senders_, [this](const incarnation& sender) {
--- a/src/routing/impl/fair_queue.cpp
+++ b/src/routing/impl/fair_queue.cpp
@@ -123,7 +123,7 @@
   queue.waiting_cost += work.cost;
   if (team.queued++ == 0) {
     queued_weight_ += team.weight;
-    // An idle team saves no service up: it starts level with those who are being served.
+    // An idle team accumulates no credit: it resumes at the current virtual time.
     team.finish = std::max(team.finish, virtual_time_);
   }
   team.queued_cost += work.cost;
@@ -179,9 +179,9 @@
   }
 }
 
-// Teams within their share want less than it in sum, so serving them first takes nothing from those
-// beyond theirs; in order of virtual time alone, a small team's own draft would hold its next chat
-// back for seconds.
+// The demand of teams within their share is below the sum of their shares, so serving them first
+// takes nothing from teams beyond theirs. By virtual time alone, the charge for a small team's long
+// request would delay its next interactive one for seconds.
 std::optional<std::uint32_t> fair_queue::next_team(const queue_filter& filter) const {
   const slot_heap& within = ready_[urgency_of(filter.last, false)];
   if (!within.empty())
@@ -195,8 +195,8 @@
     pop(heap);
 }
 
-// The first class with work, unless a later one has been passed over for longer than its patience
-// and is owed at least the cost of its next request.
+// Returns the most urgent class with waiting requests, unless a later one has waited longer than
+// its patience and its deficit covers the cost of its next request.
 std::size_t fair_queue::next_class(team_state& team, work_class last, time_ms now) {
   std::size_t first = work_class_count;
   for (std::size_t c = 0; c <= static_cast<std::size_t>(last); ++c) {
@@ -269,8 +269,7 @@
   return grant;
 }
 
-// The rate is learned only from spans in which there was always a queue; otherwise it would be the
-// rate of arrivals.
+// The service rate is measured only while requests wait; otherwise it would be the arrival rate.
 void fair_queue::note_service(double cost, time_ms now) noexcept {
   if (queued_ == 0)
     return;
@@ -330,8 +329,8 @@
   return true;
 }
 
-// A started or cancelled request leaves its place in the heap of deadlines until that is on top;
-// without this, a long deadline would keep every short request's place for minutes.
+// The entry of a started or cancelled request stays in the deadline heap until it reaches the top.
+// Without compaction, one distant deadline would retain the entries of all later ones for minutes.
 void fair_queue::compact_deadlines() {
   if (deadlines_.size() <= 2 * queued_ + void_entries_kept)
     return;
--- a/src/routing/impl/fair_queue_admission.cpp
+++ b/src/routing/impl/fair_queue_admission.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr double ms_per_s = 1000.0;
-constexpr double output_gain = 0.1; // share of a new answer in the moving average
+constexpr double output_gain = 0.1; // weight of a new response in the moving average
 
 } // namespace
 
-// A limit that is shared by hosts leaves each at least one, or a team with many quiet hosts could
-// send nothing at all.
+// Each host's part is at least one; otherwise a team whose requests are spread over many hosts
+// could send nothing.
 double queue_part(double limit, double fraction) noexcept {
   return std::max(1.0, limit * fraction);
 }
@@ -24,9 +24,9 @@
   return answer;
 }
 
-// The wait is the shorter of two bounds: everything queued here goes first, or only the team's own
-// earlier work does, at the rate that its weight assures it. `finish - virtual_time_` is service
-// that the team has had in advance and must wait for.
+// The wait is the smaller of two bounds: the time to serve everything queued here, and the time to
+// serve the team's own earlier work at the rate that its weight guarantees. `finish -
+// virtual_time_` is service that the team has received in advance and has to wait off.
 time_ms fair_queue::wait_of(const team_state& team, work_class kind) const noexcept {
   if (rate_ <= 0.0 || queued_ == 0)
     return time_ms{0};
--- a/src/routing/impl/load_estimate.cpp
+++ b/src/routing/impl/load_estimate.cpp
@@ -13,7 +13,8 @@
 } // namespace
 
 void load_estimate::record(change latest) {
-  // A bound for an endpoint that has stopped reporting; the oldest half then counts as reported.
+  // Bounds the memory for an endpoint that no longer reports. The oldest half is dropped, as if a
+  // report had included it.
   if (changes_.size() >= most_changes)
     changes_.erase(changes_.begin(), changes_.begin() + most_changes / 2);
   changes_.push_back(latest);
@@ -65,8 +66,8 @@
   told_staleness_ = staleness;
 }
 
-// What the other hosts say of their own requests is fresher than the endpoint's report, but only
-// complete if all of them were heard.
+// The other hosts' use reports are newer than the endpoint's load report, but complete only if all
+// hosts have sent one.
 double load_estimate::at_endpoint() const noexcept {
   const double told = own_running_ + others_running_;
   if (all_heard_)
@@ -75,7 +76,8 @@
   return std::max(static_cast<double>(own_running_), reported + since_running_);
 }
 
-// Without the others' word, what waited at the last report stands for their unread prompts.
+// Without use reports from all hosts, the requests that waited at the last load report are counted
+// with the average prompt length.
 double load_estimate::unread_before(std::size_t urgency) const noexcept {
   double own = 0.0;
   double others = 0.0;
--- a/src/routing/impl/order_planner.cpp
+++ b/src/routing/impl/order_planner.cpp
@@ -80,8 +80,8 @@
   next_order_ = 0;
   introduced_.clear();
   introductions_.clear();
-  // Orders of an epoch that is over are not repeated: their number would be refused, or worse,
-  // taken by an engine that does not check it.
+  // Orders of a former epoch are not resent: an engine would refuse their fencing number or, if it
+  // does not check it, execute an outdated order.
   for (order_record& record : records_)
     if (record.state == order_state::sent)
       record.state = order_state::abandoned;
@@ -104,7 +104,7 @@
       continue;
     const auto engine = std::ranges::find(engines, record.order.endpoint, &engine_view::endpoint);
     const bool gone = engine == engines.end() || !engine->usable;
-    // A repeat of a load that is no longer listed would bring back what is not wanted any more.
+    // Resending a load of an item that is no longer listed would load what is not wanted any more.
     const bool unwanted =
         record.order.action == order_action::load && !listed(goal, record.order.item);
     if (!gone && shows_done(*engine, record.order))
@@ -145,8 +145,8 @@
   return states;
 }
 
-// A higher goal holds at once; a lower one only after it has lasted, so that a short lull does not
-// throw away what must then be fetched again.
+// A higher goal applies at once. A lower one applies only after it has persisted, so that a short
+// drop in demand does not unload models that have to be fetched again.
 void order_planner::settle_goals(const pool_goal& goal, time_ms now) {
   for (const item_goal& g : goal.items) {
     item_state& state = items_[g.item];
@@ -199,8 +199,8 @@
                         ": the engines ignore fencing numbers, and a late unload would do harm");
     return;
   }
-  // One engine at a time: an engine whose model is being replaced serves neither, and a change of
-  // version on engines with one place each would otherwise stop the whole pool.
+  // One engine at a time: an engine whose model is being replaced serves neither model, and a
+  // version change on engines with one place each would otherwise stop the whole pool.
   if (open_orders(order_action::unload) + open_orders(order_action::load) > 0) {
     withheld_.push_back("load of " + to_string(item) + ": another engine is being changed");
     return;
@@ -282,8 +282,8 @@
   }
 }
 
-// An old version goes on answering until its engine has a listed one, or enough others have it;
-// otherwise a change of version would leave the model's requests without an engine for a while.
+// An old version keeps serving until its engine holds a listed one or enough other engines do;
+// otherwise a version change would leave the model's requests without an engine for a while.
 bool order_planner::awaits_other_version(const pool_goal& goal,
                                          const std::vector<engine_state>& engines,
                                          const engine_state& engine, const loadable& old) const {
@@ -304,7 +304,8 @@
   return old.adapter.empty() && short_of_one;
 }
 
-// What no settings list any more goes; a mere surplus of a listed item stays until room is needed.
+// Unloads items that the settings no longer list. Surplus replicas of a listed item stay until room
+// is needed.
 void order_planner::drop_surplus(const pool_goal& goal, std::vector<engine_state>& engines,
                                  time_ms now) {
   for (engine_state& engine : engines) {
@@ -343,7 +344,7 @@
                         "do harm");
     return;
   }
-  // One at a time: each change takes an engine out of what it does now.
+  // One at a time: each change takes an engine out of its current role.
   const bool open = std::ranges::any_of(records_, [](const order_record& record) {
     return record.state == order_state::sent && record.order.action == order_action::role;
   });
@@ -379,9 +380,9 @@
   return std::exchange(due_, {});
 }
 
-// The former decider may be paused with an order in its hands. An engine that has heard nothing of
-// this epoch would carry it out whenever it arrives; one that has will refuse it. The order that
-// tells it asks for the role that it has.
+// The former decider may be paused while it sends an order. An engine that does not know this epoch
+// would execute that order whenever it arrives; one that knows it refuses. The announcing order
+// requests the role that the engine already has.
 std::vector<engine_order> order_planner::introductions(std::span<const engine_view> engines,
                                                        time_ms now) {
   std::vector<engine_order> orders;
@@ -419,8 +420,8 @@
     return;
   switch (answer) {
   case order_answer::done:
-    // Open until the engine's report shows it: its report lags, and planning from the old one would
-    // order the same again.
+    // The order stays in flight until the engine's report shows it: the report lags, and planning
+    // from the old one would repeat the order.
     record->last_sent = now;
     record->answered = true;
     return;
@@ -428,7 +429,7 @@
     record->state = order_state::failed;
     break;
   case order_answer::rate_limited:
-    // It was not sent, so it says nothing against this engine.
+    // The order did not reach the engine, so this is no failure of the engine.
     record->state = order_state::abandoned;
     store_closed_until_ = std::max(store_closed_until_, now + retry_after);
     break;
--- a/src/routing/impl/quarantine.cpp
+++ b/src/routing/impl/quarantine.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// A run that has gone on this much longer than the one that was cut is past the place where the
-// content would have ended its endpoint.
+// A run that lasts this much longer than the one that was cut off is past the point at which the
+// content would have crashed its endpoint.
 constexpr std::int64_t survival_factor = 2;
 constexpr time_ms survival_margin{2000};
 
@@ -60,8 +60,8 @@
                                   std::span<const cut_run> runs, time_ms now) {
   note_end_of(endpoint, life, now);
   for (const cut_run& run : runs) {
-    // Content that many send is on most endpoints at any time, and so on every one that ends;
-    // having come through lately tells it from content that ends whatever runs it.
+    // Content that many callers send runs on most endpoints at any time, and so on every one that
+    // dies. A recent completed run distinguishes it from content that crashes endpoints.
     if (completed_lately(run.content, now))
       continue;
     if (add_run(run.content, {endpoint, life, run.ran_for, now}))
@@ -88,9 +88,9 @@
   news_.acquittals.push_back({content, time_ms{0}});
 }
 
-// The loss of a rack or a data centre ends many endpoints within seconds, and a request that was
-// retried inside it has been on two of them. It shows in endpoints that ended at the same time
-// without this content; deaths with the content count as explained by it.
+// An outage of a rack or a data centre ends many endpoints within seconds, and a request that was
+// retried within it ran on two of them. Such an outage is detected by endpoints that died at the
+// same time without running this content; deaths with the content are attributed to the content.
 bool quarantine_table::is_mass(const ended_run& run, const suspect_runs& runs) const {
   const auto unexplained = std::ranges::count_if(deaths_, [&](const death& d) {
     const time_ms apart = std::max(d.at, run.at) - std::min(d.at, run.at);
@@ -108,8 +108,8 @@
   return ended;
 }
 
-// Two contents that were together on every ended endpoint cannot be told apart; both stay suspects
-// and therefore run apart from now on, so the next end names one of them.
+// Two contents that ran together on every endpoint that died cannot be distinguished. Both stay
+// suspects and run on separate endpoints from then on, so the next death identifies one of them.
 bool quarantine_table::is_alone(content_fingerprint content,
                                 const std::vector<ended_run>& ended) const {
   return std::ranges::none_of(suspects_, [&](const auto& other) {
@@ -149,8 +149,8 @@
   acquit_bystanders(content, ended);
 }
 
-// The first two deaths of an outage look like the work of a request that was on both; when the
-// others come in, the verdict is taken back.
+// The first two deaths of an outage appear to be caused by a request that ran on both. When the
+// other deaths are reported, the verdict is revoked.
 void quarantine_table::judge_again(time_ms now) {
   std::vector<content_fingerprint> wrong;
   for (const auto& [content, given] : verdicts_) {
@@ -164,7 +164,8 @@
     set_verdict(content, true, {}, now);
 }
 
-// What ran beside a condemned content was cut by it and is no longer suspected for that.
+// Runs that shared an endpoint with the quarantined content were cut off by it, so those deaths no
+// longer count against their contents.
 void quarantine_table::acquit_bystanders(content_fingerprint culprit,
                                          const std::vector<ended_run>& ended) {
   absl::erase_if(suspects_, [&](auto& other) {
--- a/src/routing/impl/retry_policy.cpp
+++ b/src/routing/impl/retry_policy.cpp
@@ -18,9 +18,9 @@
 
 double retry_budget::left(time_ms now) const noexcept {
   const double elapsed_s = static_cast<double>((now - updated_).count()) / ms_per_s;
-  // Time alone earns the reserve at most, successes up to the whole budget. With a reserve of one
-  // retry, a quiet host that had just spent it on a request that crashed an engine refused the
-  // next ones, which met the same engine before it was known to be gone.
+  // Time alone fills the budget up to the reserve, successes up to its capacity. With a reserve of
+  // one retry, a host with little traffic that spent it on a request that crashed an engine refused
+  // the next requests, which were sent to the same engine before its death was detected.
   const double base = std::max(level_, policy_.budget_reserve);
   return std::clamp(level_ + std::max(0.0, elapsed_s) * policy_.budget_per_s, level_, base);
 }
@@ -58,7 +58,7 @@
   decision.refusal = refusal_after(so_far);
   decision.wait = std::max(backoff(policy, failed.attempts, random), failed.retry_after);
 
-  // Taking up a run that goes on is no second run, so it needs no idempotence.
+  // Resuming a run does not repeat it, so the request need not be idempotent.
   if (failed.resumable && may_have_run && failed.attempts < policy.most_attempts) {
     decision.action = retry_action::resume;
     return decision;
--- a/src/routing/impl/run_lengths.cpp
+++ b/src/routing/impl/run_lengths.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// One in ten of fewer is none.
+// With fewer samples, one in ten is less than one request.
 constexpr std::size_t least_noted = 8;
 
-// Configurations add and drop kinds; beyond so many all are learned anew.
+// Configurations add and remove kinds; beyond this bound all samples are dropped.
 constexpr std::size_t most_kinds = 512;
 
 constexpr std::size_t whole = 100;
--- a/src/routing/impl/share_answer.cpp
+++ b/src/routing/impl/share_answer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Sums are made by adding and taking away, so a remainder of nothing may come out below zero.
+// Subtracting parts from a floating-point sum can leave a remainder slightly below zero.
 void take(double& from, double part) noexcept {
   from = std::max(0.0, from - part);
 }
--- a/src/routing/impl/share_plan.cpp
+++ b/src/routing/impl/share_plan.cpp
@@ -10,10 +10,11 @@
 
 constexpr double ms_per_s = 1000.0;
 constexpr double least_demand = 1e-9;
-// Of an equal part: a team that has hardly asked here so far must not start from nothing.
+// Smallest weight on a host, as a fraction of an equal part: a team with hardly any requests here
+// so far must not start from zero.
 constexpr double least_part = 0.25;
-// Of a team's limits, divided equally over the hosts; the rest goes by demand, so all parts sum
-// to 1.
+// Fraction of a team's limits that is divided equally over the hosts; the rest is divided by
+// demand, so all parts sum to 1.
 constexpr double equal_part = 0.2;
 
 double hosts_of(const share_report& all) noexcept {
@@ -34,7 +35,7 @@
   double granted{};
 };
 
-// Weighted max-min: whoever wants less than its share gets all of it, and the others divide the
+// Weighted max-min fairness: a claim below its share is granted in full, and the others divide the
 // rest. Claims are visited in the order in which they would be satisfied, so one pass is enough.
 void divide(std::vector<claim>& claims, double capacity) {
   std::ranges::sort(claims, [](const claim& a, const claim& b) {
@@ -55,8 +56,8 @@
   return found == report.teams.end() ? nullptr : &*found;
 }
 
-// A team that got less than its part over the last period is given more weight until it has caught
-// up; without this, lag and estimates of cost would leave a lasting error.
+// Weight factor for a team that was served less or more than its grant over the last period.
+// Without it, delays and cost estimates would leave a permanent error.
 double correction(double granted, double served, const share_policy& policy) {
   if (granted <= least_demand)
     return 1.0;
@@ -65,13 +66,13 @@
                     policy.most_feedback);
 }
 
-// How many times its share a team asks for. A backlog is left out: it may stem from a moment's
-// shortage.
+// Returns a team's demand as a multiple of its share. The backlog is excluded because it may stem
+// from a momentary overload.
 double times_share(const claim& c, const team_demand& all) {
   return c.granted < c.wanted ? all.wanted / std::max(c.granted, least_demand) : 0.0;
 }
 
-// What was served of late counts, too: a small team's single draft is no flood.
+// Recent service is required as well, because a single long request of a small team is no flood.
 double excess_of(const claim& c, const team_demand& all, const share_policy& policy) {
   if (all.queued <= 0.0 || all.served < policy.beyond_from * c.granted)
     return 0.0;
@@ -87,8 +88,8 @@
           inputs.all.urgent_queued > policy.short_urgent_s * inputs.pool_rate);
 }
 
-// Part of the service that teams get which do not flood. Where nearly all ask for far more than
-// their share, weights alone divide the pool, and there is nobody to protect.
+// Returns the fraction of the service that goes to teams which do not flood. If nearly all teams
+// demand far more than their share, weights alone divide the pool and no team needs protection.
 double entitled_part_of(std::span<const claim> claims, const share_inputs& inputs,
                         const share_policy& policy) {
   double all = inputs.all.others.served;
@@ -102,8 +103,8 @@
   return part < policy.least_entitled ? 0.0 : part;
 }
 
-// Where the whole was divided elsewhere, the others' grant stands. Max-min division is consistent:
-// what is left of the pool divides over the teams named here as it does in the whole.
+// If a speaker has divided the whole sum, its grant to the others is used. Max-min division is
+// consistent: the rest of the pool divides over the teams named here as it does in the whole.
 double granted_to_others(const share_report& all, const share_policy& policy) {
   return all.scope == share_scope::fleet ? all.others_granted : demand_of(all.others, policy);
 }
@@ -129,7 +130,6 @@
 
 } // namespace
 
-// What arrives, and the backlog within the horizon.
 double demand_of(const team_demand& team, const share_policy& policy) {
   return team.wanted + team.queued * ms_per_s / static_cast<double>(policy.horizon.count());
 }
@@ -191,7 +191,7 @@
     granted_here += c.granted * part;
     const bool limited = pool_short && c.granted < c.wanted;
     const double factor = limited ? correction(c.granted, all.served, policy) : 1.0;
-    // A team that wants less than its share keeps the whole weight, so that it never waits.
+    // A team that demands less than its share keeps its full weight, so that it never waits.
     const double weight = c.weight * std::max(part, least_part * equal) * factor;
     const double fraction = (1.0 - equal_part) * part + equal_part * equal;
     const double excess = plan.entitled_part > 0.0 ? excess_of(c, all, policy) : 0.0;
--- a/src/routing/impl/share_relay.cpp
+++ b/src/routing/impl/share_relay.cpp
@@ -13,12 +13,12 @@
 constexpr time_ms shortest_interval{1000};
 constexpr time_ms longest_interval{4000};
 constexpr std::int64_t ms_per_host = 12;
-// Rounds are driven by a loop that is never quite on time.
+// The loop that starts the rounds may run slightly early or late.
 constexpr time_ms tolerance{100};
-// Hosts learn of a new speaker at different moments and report in rounds of their own.
+// Hosts learn of a new speaker at different times, and their rounds are not synchronised.
 constexpr std::int64_t rounds_listened = 2;
-// A report outlives two that are lost. An answer outlives the speaker until the next one is chosen
-// and has listened.
+// A report stays valid if the next two are lost. An answer stays valid after its speaker has
+// failed, until the next speaker has been chosen and has listened for its rounds.
 constexpr std::int64_t rounds_kept = 4;
 constexpr time_ms detection{2000};
 
@@ -52,8 +52,8 @@
   return found == members_.end() ? nullptr : &*found;
 }
 
-// In a partition each side divides the pool over the hosts that it hears. A report of a host that
-// is gone would hold back a part that nobody uses, for as long as reports are kept.
+// In a partition each side divides the pool over the hosts that it can reach. The report of a host
+// that is gone would reserve an unused part of the pool for as long as reports are kept.
 void share_relay::set_members(std::vector<share_member> members, time_ms now) {
   members_ = std::move(members);
   if (member_of(self_) == nullptr)
@@ -105,7 +105,7 @@
 }
 
 // A late answer of a former speaker must not replace its successor's: it may lack hosts that the
-// former one could not hear.
+// former speaker could not reach.
 void share_relay::merge(const share_report& report, time_ms now) {
   const share_member* const sender = member_of(report.from);
   if (sender == nullptr || report.from == self_)
@@ -141,8 +141,8 @@
   }
 }
 
-// Of a round of seconds the last second alone would leave most teams unnamed: in a large fleet a
-// team has a request at a host only now and then.
+// A round may last several seconds, and its last second alone would omit most teams: in a large
+// fleet a team has only occasional requests at any one host.
 share_report share_relay::mean_of(const std::vector<share_report>& measured) const {
   share_report mean = merge_reports(measured, policy_.most_teams);
   const double part = 1.0 / static_cast<double>(measured.size());
@@ -183,8 +183,8 @@
   return due;
 }
 
-// A new speaker has heard few hosts. Its sums would divide the pool over these alone, and the
-// credits of all hosts would add up to far more than the pool; so it listens before.
+// A new speaker has reports from few hosts. Its sum would divide the pool over these alone, and the
+// credits of all hosts would add up to far more than the pool, so it first listens for some rounds.
 void share_relay::speak(const pool_id& pool, const pool_speakers& speakers, time_ms now) {
   if (!has_listened(speakers, now))
     return;
@@ -229,8 +229,8 @@
   return heard;
 }
 
-// A team that began to ask here since the last report is not in the answer: at a round of seconds
-// it would wait that long for a part of the pool.
+// Adds the teams whose requests began here after the last report. They are not in the answer, and
+// with rounds of several seconds they would wait that long for a part of the pool.
 share_report share_relay::sum(const pool_id& pool, time_ms now) const {
   const auto own = own_.find(pool);
   const auto speaking = speakers_.find(pool);
--- a/src/routing/impl/share_table.cpp
+++ b/src/routing/impl/share_table.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double ms_per_s = 1000.0;
-constexpr double smoothing = 0.06; // of the newest second in a team's usual figures
+constexpr double smoothing = 0.06; // weight of the latest second in a team's averages
 constexpr double wanted_smoothing = 0.06;
 constexpr double least_rate = 1e-3;
 
@@ -69,8 +69,8 @@
   return std::max<std::uint32_t>(1, sum);
 }
 
-// One second's service of a team is a handful of requests, so it is averaged before it is compared
-// with what the team should have had.
+// A team is served only a few requests per second, so its service is averaged before it is compared
+// with its grant.
 share_inputs share_table::inputs(double pool_slots) {
   std::vector<share_report> reports;
   reports.reserve(heard_.size());
--- a/src/routing/impl/stall_policy.cpp
+++ b/src/routing/impl/stall_policy.cpp
@@ -24,16 +24,16 @@
   watch.probing = false;
 }
 
-// A silent connection may be one that something between the two ends has forgotten, while new ones
-// work; waiting on it would hang the caller for good, and giving the endpoint up would throw a
-// healthy run away. Only a second connection tells the two apart.
+// A silent connection may have been dropped by a middlebox while new connections work. Waiting on
+// it would hang the caller forever, and giving up on the endpoint would discard a healthy run. Only
+// a second connection distinguishes this from a dead endpoint.
 stall_decision check_stall(stall_watch& watch, const stall_policy& policy, probe_result probe,
                            time_ms now) noexcept {
   const time_ms limit = watch.quiet_since + allowed(policy, watch.stage);
   if (!watch.probing) {
     if (now < limit)
       return {stall_step::wait, limit};
-    // No connection at all is already the answer that a probe would give.
+    // A probe could only show the same: no connection.
     if (watch.stage == stall_stage::connect)
       return {stall_step::give_up, now};
     watch.probing = true;
--- a/src/routing/impl/stop_policy.cpp
+++ b/src/routing/impl/stop_policy.cpp
@@ -8,23 +8,26 @@
   return std::max(bounds.grace - bounds.kept_for_exit, time_ms{0});
 }
 
-// A request that cannot end in time would be cut in the middle of its answer; refused unrun, its
-// caller gets the whole answer from another host, if that one does not stop as well. Within the
-// notice callers had no choice, and many come: what likely ends in time is taken. Whoever comes
-// later could have gone elsewhere, and is taken only if the answer is sure to be whole.
+// A request that does not end in time is cut off in the middle of its response; if it is refused
+// without running, its caller gets the whole response from another host unless that one stops too.
+// Within the notice callers are still routed here, and many arrive, so a request that likely ends
+// in time is accepted. Later ones could have used another host, so they are accepted only if they
+// are certain to end in time.
 bool may_take(const stop_bounds& bounds, time_ms since, const run_forecast& run) noexcept {
   return since + (since < bounds.notice ? run.likely : run.surely) <= cut_after(bounds);
 }
 
-// Until the notice is over callers are sent here although others have room. Later they come only
-// when the balancer knows no better host; then whatever ends in time is better served than refused.
+// Until the notice is over, the load balancer sends callers here although other hosts have room.
+// Later it does so only if it knows no better host, and then serving what ends in time is better
+// than refusing it.
 bool may_end(const stop_bounds& bounds, time_ms since, std::size_t open) noexcept {
   const time_ms cut = cut_after(bounds);
   return since >= cut || (open == 0 && since >= bounds.notice);
 }
 
-// A tenth is left: each step notices its end some milliseconds late. A machine that stood still
-// comes here late; steps as long as ever would outlast the grace, and the log's last lines be lost.
+// A tenth remains unallocated, because each step detects its timeout some milliseconds late. On a
+// machine that stalled the exit begins late; full-length steps would exceed the grace, and the last
+// log lines would be lost.
 exit_spans spans_of_exit(const stop_bounds& bounds, time_ms since) noexcept {
   constexpr std::int64_t parts = 20;
   const time_ms left = std::max(bounds.grace - since, time_ms{0});
--- a/src/routing/routing.hpp
+++ b/src/routing/routing.hpp
@@ -24,7 +24,7 @@
 ///   const auto choice = choose_endpoint(table, need_of(head->ticket), here, random, now);
 ///   if (!choice) break;                   // no endpoint can run it; retry at the next event
 ///   if (!may_start(queue, *head, *choice, policy)) {
-///     if (!narrow(filter, *head)) break;  // consider more urgent requests
+///     if (!narrow(filter, *head)) break;  // no more urgent class left
 ///     continue;
 ///   }
 ///   const work_grant grant = *queue.dequeue(now, filter);
@@ -36,7 +36,7 @@
 /// `table.end(attempt, need, {outcome, output_tokens, cached_tokens}, now)` and
 /// `queue.settle(grant, real_cost, now)`; after success `budget.note_success(now)` and
 /// `suspects.note_survived(content, ran_for, true, now)`; after failure `decide_retry(...)`, and if
-/// the endpoint terminated, `suspects.note_death(endpoint, life, runs_on_it, now)`.
+/// the endpoint died, `suspects.note_death(endpoint, life, runs_on_it, now)`.
 ///
 /// Once a second: `table.review(now)`, `suspects.expire(now)` and `table.set_senders(hosts)` with
 /// the other hosts that send to the pools; per pool, `shares.measure(queue, now)` gives the report
--- a/tests/routing/attempt_rule_test.cpp
+++ b/tests/routing/attempt_rule_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("a request that did not run may be tried again, as often as it may be at all") {
+TEST_CASE("a request that did not run is retried up to the attempt limit") {
   failed_so_far request = failed_once();
   CHECK(may_attempt_again(request));
   CHECK(refusal_after(request) == error_kind::no_capacity);
@@ -24,8 +24,8 @@
   CHECK_FALSE(may_attempt_again(request));
 }
 
-// An endpoint is lost after it has booked an order and before it could say so.
-TEST_CASE("what may have run is tried again only where a second run does no harm") {
+// The endpoint fails after it has booked an order and before it could acknowledge it.
+TEST_CASE("a request that may have run is retried only if a second run is safe") {
   failed_so_far request = failed_once();
   request.may_have_run = true;
   CHECK_FALSE(may_attempt_again(request));
@@ -35,8 +35,8 @@
   CHECK(refusal_after(request) == error_kind::endpoint_failed);
 }
 
-// Half of an answer is with the caller. A second run words the other half differently.
-TEST_CASE("no other run follows a part of an answer") {
+// The caller has received half of a response. A second run would word the other half differently.
+TEST_CASE("a request is not retried after part of its response was delivered") {
   failed_so_far request = failed_once();
   request.may_have_run = true;
   request.harmless_twice = true;
--- a/tests/routing/choose_endpoint_test.cpp
+++ b/tests/routing/choose_endpoint_test.cpp
@@ -67,9 +67,9 @@
 } // namespace
 
 TEST_SUITE("choice of endpoint") {
-  TEST_CASE("work sent since the last report counts, so a stale report draws no herd") {
-    // All new requests go to one replica for two seconds: it was idle when it last reported, and
-    // whoever trusts the report alone goes on choosing it.
+  TEST_CASE("requests sent since the last report count, so a stale report causes no herding") {
+    // One replica was idle when it last reported. If the choice used the report alone, all new
+    // requests would go to this replica until its next report, for two seconds.
     fleet f{4};
     for (int i = 1; i < 4; ++i)
       f.report(i, 8, time_ms{0});
@@ -83,7 +83,7 @@
     CHECK(sent.size() == 4);
   }
 
-  TEST_CASE("a report takes the place of what was sent before it was made, not after") {
+  TEST_CASE("a report replaces the requests counted before it was taken, not those after") {
     load_estimate load;
     load.started(0, 100, 100_ms);
     load.started(0, 100, 900_ms);
@@ -99,12 +99,12 @@
     CHECK(load.at_endpoint() == doctest::Approx(6.0));
   }
 
-  TEST_CASE("a leaving endpoint gets no new work from the moment it is known") {
+  TEST_CASE("a leaving endpoint gets no new work from the moment it is marked") {
     fleet f{5};
     f.table.set_leaving(name(2), true);
     for (int i = 0; i < 500; ++i)
       CHECK(f.choose(plain(), time_ms{i})->endpoint != name(2));
-    // Not even when nothing else is left.
+    // It gets none even if no other endpoint is left.
     for (int i : {0, 1, 3, 4})
       f.table.set_leaving(name(i), true);
     CHECK_FALSE(f.choose(plain(), 1_s).has_value());
@@ -133,7 +133,7 @@
     CHECK_FALSE(f.choose(need, 4_ms).has_value());
   }
 
-  TEST_CASE("the next turn of a conversation goes where the last one left its prefix") {
+  TEST_CASE("the next turn of a conversation goes to the endpoint that cached the last one") {
     fleet f{20};
     const auto turns = blocks(1, 12);
     route_need need = plain(2000);
@@ -164,7 +164,7 @@
     CHECK(f.choose(need, 1_s)->slot != first->slot);
   }
 
-  TEST_CASE("predicted hits fade with age and faster once the engine has denied some") {
+  TEST_CASE("predicted hits decrease with age, and faster after cache misses") {
     fleet f{3};
     const auto chain = blocks(1, 8);
     route_need need = plain(2000);
@@ -183,7 +183,7 @@
     CHECK(denied->predicted_cached * 2 < old->predicted_cached);
   }
 
-  TEST_CASE("an eviction event ends the belief, and missed events weaken it") {
+  TEST_CASE("an eviction event removes a predicted hit, and missed events lower the prediction") {
     fleet f{3};
     const auto chain = blocks(1, 1);
     route_need need = plain(256);
@@ -196,10 +196,10 @@
     CHECK(f.choose(need, 11_s)->reason != choice_reason::cached);
   }
 
-  TEST_CASE("two hosts that know nothing of each other send the same new prefix to the same home") {
+  TEST_CASE("hosts without shared state send the same new prefix to the same endpoint") {
     fleet a{40};
     fleet b{0};
-    for (int i = 39; i >= 0; --i) { // heard of in another order
+    for (int i = 39; i >= 0; --i) { // added in another order
       b.table.add({name(i), lm, here});
       b.table.apply_report(name(i), idle_report(), time_ms{0});
     }
@@ -227,9 +227,10 @@
       CHECK(f.table.records()[f.choose(plain(), 1_s)->slot].info.data_centre == here);
   }
 
-  TEST_CASE("what other hosts say of their requests counts at once, while all of them are heard") {
-    // Chat waits behind another host's long prompt: the replica's own report, two seconds old,
-    // shows it idle, and so do both hosts' own books.
+  TEST_CASE("use reports of other hosts apply at once while every host sends them") {
+    // An interactive request waits behind another host's long prompt if the choice relies on the
+    // replica's load report, which is two seconds old and shows it idle, and on this host's
+    // requests.
     fleet f{2};
     const incarnation other{host_id{"b"}, 1};
     const incarnation silent{host_id{"c"}, 1};
@@ -238,24 +239,25 @@
     f.table.set_senders(std::vector{other}, 1_s);
     for (int i = 0; i < 50; ++i)
       CHECK(f.choose(plain(), 1_s)->endpoint == name(1));
-    // An older word that comes late changes nothing; a newer one replaces it.
+    // An outdated report has no effect; a newer one replaces the last.
     f.table.apply_use({other, 1, true, {}, {}}, 1_s);
     CHECK(f.choose(plain(), 1_s)->endpoint == name(1));
     f.table.apply_use({other, 2, true, {{name(1), 31, {40000.0, 0.0, 0.0}}}, {}}, 1_s);
     CHECK(f.choose(plain(), 1_s)->endpoint == name(0));
-    // Part of its use leaves the rest as it was.
+    // A partial report leaves the other endpoints' use unchanged.
     f.table.apply_use({other, 3, false, {{name(0), 0, {}}}, {}}, 1_s);
     CHECK(f.choose(plain(), 1_s)->endpoint == name(0));
     f.table.apply_use({other, 4, false, {{name(1), 0, {}}, {name(0), 31, {9000.0}}}, {}}, 1_s);
     CHECK(f.choose(plain(), 1_s)->endpoint == name(1));
-    // With one host unheard the sum would be too small, so the reports count again.
+    // Without the reports of one host the sum is too small, so the load reports apply again.
     f.table.set_senders(std::vector{other, silent}, 1_s);
     f.report(0, 31, 1_s);
     f.report(1, 1, 1_s);
     CHECK(f.choose(plain(), 1_s)->endpoint == name(1));
   }
 
-  TEST_CASE("a conversation's next turn finds its prefix although another host sent the last one") {
+  TEST_CASE(
+      "a conversation's next turn finds its prefix although another host sent the last turn") {
     fleet a{20};
     fleet b{20};
     const auto turns = blocks(9, 12);
@@ -271,7 +273,7 @@
     CHECK(next->reason == choice_reason::cached);
   }
 
-  TEST_CASE("starts are told at once, ends a little later, everything once a second") {
+  TEST_CASE("starts are reported at once, ends shortly after, everything once a second") {
     fleet f{4};
     const incarnation self{host_id{"a"}, 1};
     CHECK(f.table.due_use(self, 2_s)->whole);
@@ -288,7 +290,7 @@
     CHECK(f.table.due_use(self, 3_s)->whole);
   }
 
-  TEST_CASE("suspects are spread so that no two share an endpoint while there is room") {
+  TEST_CASE("no two suspects share an endpoint while others are free") {
     fleet f{16};
     std::set<std::uint32_t> used;
     for (std::uint64_t i = 1; i <= 6; ++i) {
@@ -300,7 +302,7 @@
     }
   }
 
-  TEST_CASE("an endpoint that cannot be connected to is avoided and comes back") {
+  TEST_CASE("an unreachable endpoint is avoided until it is reachable again") {
     fleet f{3};
     const auto choice = f.choose(plain(), time_ms{0});
     for (int i = 0; i < 2; ++i) {
@@ -316,7 +318,7 @@
     CHECK(chosen.size() == 3);
   }
 
-  TEST_CASE("when every endpoint seems unreachable one of them is tried all the same") {
+  TEST_CASE("if every endpoint seems unreachable, one of them is still tried") {
     fleet f{2};
     for (int i = 0; i < 2; ++i)
       for (int k = 0; k < 2; ++k) {
--- a/tests/routing/endpoint_health_test.cpp
+++ b/tests/routing/endpoint_health_test.cpp
@@ -33,9 +33,9 @@
 } // namespace
 
 TEST_SUITE("endpoint health") {
-  TEST_CASE(
-      "a replica much slower than its peers is ejected, tried again, and ejected for longer") {
-    // Each tenth chat takes many seconds: one replica limps but answers its health checks.
+  TEST_CASE("a replica much slower than its peers is ejected, reinstated and ejected for longer") {
+    // One replica of ten is slow but passes its health checks, so one request in ten takes many
+    // seconds.
     pool p{10};
     const auto traffic = [&](time_ms now) {
       for (int k = 0; k < 10; ++k)
@@ -54,7 +54,7 @@
     CHECK(p.members[3].until - first_until > first_until - 1_s);
   }
 
-  TEST_CASE("when all are slow none is ejected, for it is the load and not a replica") {
+  TEST_CASE("no replica is ejected if all are slow, because the cause is load") {
     pool p{10};
     for (int k = 0; k < 10; ++k)
       for (std::size_t i = 0; i < 10; ++i)
@@ -62,7 +62,7 @@
     CHECK(p.review(1_s) == 0);
   }
 
-  TEST_CASE("never more than the floor allows are ejected, the worst first") {
+  TEST_CASE("at most the permitted fraction is ejected, the worst first") {
     CHECK(rc::check([] {
       pool p{static_cast<std::size_t>(*rc::gen::inRange(1, 30))};
       for (std::size_t i = 0; i < p.members.size(); ++i) {
@@ -82,7 +82,7 @@
     }));
   }
 
-  TEST_CASE("a replica that answers with errors is ejected only while its peers do not") {
+  TEST_CASE("a replica that returns errors is ejected only while its peers do not") {
     pool p{6};
     for (int k = 0; k < 10; ++k)
       for (std::size_t i = 0; i < 6; ++i)
--- a/tests/routing/fair_queue_test.cpp
+++ b/tests/routing/fair_queue_test.cpp
@@ -22,7 +22,7 @@
   return {ticket, kind, cost, deadline};
 }
 
-/// Starts until the queue is empty and returns the tickets in order.
+/// Starts requests until the queue is empty; returns their tickets in order.
 std::vector<std::uint64_t> drain(fair_queue& queue, time_ms now) {
   std::vector<std::uint64_t> order;
   while (const auto grant = queue.dequeue(now))
@@ -45,10 +45,9 @@
 } // namespace
 
 TEST_SUITE("fair queue") {
-  TEST_CASE(
-      "a flood of one team leaves the other its share, which first-come-first-served does not") {
-    // A user's chat stands still although the team has paid for its share: another team sends
-    // thousands of requests within a second, and all of them are ahead in the queue.
+  TEST_CASE("a flood of one team leaves the other its share, unlike first come, first served") {
+    // A team's requests wait although it has paid for its share: another team sends thousands of
+    // requests within a second, and in order of arrival all of them are served first.
     two_teams t{1.0, 1.0};
     std::deque<team_id> first_come;
     std::uint64_t ticket = 0;
@@ -68,7 +67,7 @@
     CHECK(of_north >= 49 + of_north_naive);
   }
 
-  TEST_CASE("service follows weights in tokens, whatever the sizes of the requests") {
+  TEST_CASE("service follows weights in tokens, regardless of request sizes") {
     CHECK(rc::check([] {
       const double ratio = *rc::gen::inRange(1, 6);
       const auto small = *rc::gen::inRange(1, 50);
@@ -91,7 +90,7 @@
     }));
   }
 
-  TEST_CASE("a team whose requests cost more than estimated pays for it later") {
+  TEST_CASE("a team whose requests cost more than estimated is charged the difference") {
     two_teams t{1.0, 1.0};
     std::uint64_t ticket = 0;
     for (int i = 0; i < 400; ++i) {
@@ -108,7 +107,7 @@
     CHECK(std::abs(real[0] - real[1]) <= 40.0);
   }
 
-  TEST_CASE("an idle team saves nothing up") {
+  TEST_CASE("an idle team accumulates no credit") {
     two_teams t{1.0, 1.0};
     std::uint64_t ticket = 0;
     for (int i = 0; i < 200; ++i)
@@ -124,7 +123,7 @@
     CHECK(of_north >= 49);
   }
 
-  TEST_CASE("within a team chat goes first, then standard work, then long work") {
+  TEST_CASE("within a team, interactive work starts first, then standard, then long-running") {
     two_teams t{1.0, 1.0};
     CHECK(t.queue.enqueue(north, work(1, work_class::long_running), time_ms{0}).admitted);
     CHECK(t.queue.enqueue(north, work(2, work_class::standard), time_ms{0}).admitted);
@@ -132,7 +131,7 @@
     CHECK(drain(t.queue, time_ms{1}) == std::vector<std::uint64_t>{3, 2, 1});
   }
 
-  TEST_CASE("within a class the earliest deadline goes first, and equal ones in order of arrival") {
+  TEST_CASE("within a class, the earliest deadline starts first, ties in order of arrival") {
     two_teams t{1.0, 1.0};
     CHECK(t.queue.enqueue(north, work(1, work_class::standard, 1, 900_ms), time_ms{0}).admitted);
     CHECK(t.queue.enqueue(north, work(2, work_class::standard, 1, 300_ms), time_ms{0}).admitted);
@@ -140,9 +139,9 @@
     CHECK(drain(t.queue, time_ms{1}) == std::vector<std::uint64_t>{2, 3, 1});
   }
 
-  TEST_CASE("long work is not starved by a team's own unending chat") {
-    // Reorder drafts for long-standing wearers never come while the team's chat is busy: each
-    // time a place is free, there is chat before them. Strict priority does this.
+  TEST_CASE("long-running work is not starved by the team's own interactive requests") {
+    // With strict priority, long-running work never starts while the team sends a steady stream of
+    // interactive requests: each free place goes to one of those.
     two_teams t{1.0, 1.0};
     const queue_policy policy;
     CHECK(t.queue.enqueue(north, work(1, work_class::long_running, 100.0), time_ms{0}).admitted);
@@ -164,7 +163,7 @@
     CHECK(chat_served >= 3 * 100.0);
   }
 
-  TEST_CASE("each limit refuses with its own kind and a wait that would have been enough") {
+  TEST_CASE("each limit refuses with its own error and a sufficient retry-after") {
     fair_queue queue;
     team_limits limits;
     limits.requests_per_s = 2.0;
@@ -188,7 +187,7 @@
     CHECK(by_length.retry_after >= 1_s);
   }
 
-  TEST_CASE("a team at its concurrency limit waits and others pass it") {
+  TEST_CASE("a team at its concurrency limit waits while others are served") {
     fair_queue queue;
     team_limits limits;
     limits.max_running = 1;
@@ -205,27 +204,27 @@
     CHECK(queue.peek(time_ms{2}) == 2);
   }
 
-  TEST_CASE("what cannot start before its deadline is refused at once") {
+  TEST_CASE("a request that cannot start before its deadline is refused at once") {
     fair_queue queue;
     std::uint64_t ticket = 0;
     for (int i = 0; i < 500; ++i)
       CHECK(queue.enqueue(north, work(++ticket), time_ms{0}).admitted);
-    for (int i = 0; i < 200; ++i) // 10 tokens in 10 ms: 1000 tokens a second
+    for (int i = 0; i < 200; ++i) // 10 tokens every 10 ms: 1000 tokens per second
       CHECK(queue.dequeue(10_ms * i).has_value());
     const time_ms now{2000};
-    // 300 requests of 10 tokens wait: about 3 s.
+    // 300 requests of 10 tokens wait, which takes about 3 s.
     const admission late =
         queue.enqueue(north, work(++ticket, work_class::interactive, 10.0, now + 2_s), now);
     CHECK(late.refusal == error_kind::deadline_unreachable);
     CHECK(late.retry_after >= 1_s);
     CHECK(queue.enqueue(north, work(++ticket, work_class::interactive, 10.0, now + 4_s), now)
               .admitted);
-    // Another team's wait is its own, not that of the long queue.
+    // Another team does not wait for the long queue.
     CHECK(queue.enqueue(south, work(++ticket, work_class::interactive, 10.0, now + 1_s), now)
               .admitted);
   }
 
-  TEST_CASE("a request past its deadline is handed out as expired, never started") {
+  TEST_CASE("a request past its deadline expires and is never started") {
     fair_queue queue;
     CHECK(queue.enqueue(north, work(1, work_class::standard, 1, 100_ms), time_ms{0}).admitted);
     CHECK(queue.enqueue(north, work(2, work_class::standard, 1, 500_ms), time_ms{0}).admitted);
@@ -233,10 +232,10 @@
     CHECK(drain(queue, 102_ms) == std::vector<std::uint64_t>{2});
   }
 
-  TEST_CASE("each request leaves the queue exactly once, in any order of operations") {
+  TEST_CASE("each request leaves the queue exactly once in any sequence of operations") {
     CHECK(rc::check([] {
       fair_queue queue;
-      std::set<std::uint64_t> waiting; // the naive queue: just who is in
+      std::set<std::uint64_t> waiting; // reference model: the waiting tickets
       std::vector<work_grant> running;
       std::uint64_t ticket = 0;
       const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
--- a/tests/routing/flood_test.cpp
+++ b/tests/routing/flood_test.cpp
@@ -36,9 +36,10 @@
 } // namespace
 
 TEST_SUITE("flood") {
-  TEST_CASE("a small team's chat is not held back by its own draft while another team floods") {
-    // A shop's buyers wait seconds for each chat reply while another team floods the pool: the
-    // shop's last report was charged in full, and its small weight pays that off slowly.
+  TEST_CASE("a small team's long request does not delay its interactive one while another floods") {
+    // A small team's interactive requests wait for seconds while another team floods the pool: the
+    // small team's long request was charged in full, and its virtual time is far ahead because its
+    // weight is small.
     fair_queue queue;
     team_limits limits;
     limits.weight = 50.0;
@@ -56,11 +57,11 @@
     const std::uint64_t chat = ++ticket;
     CHECK(queue.enqueue(small, work(chat, work_class::interactive, 100), 2_ms).admitted);
     CHECK(queue.dequeue(2_ms)->ticket == chat);
-    // The flooder has lost nothing by it: its place in virtual time is as before.
+    // The flooding team's virtual time is unchanged, so it loses no service.
     CHECK(queue.dequeue(2_ms)->beyond_share);
   }
 
-  TEST_CASE("two teams beyond their share still divide what is left by weight") {
+  TEST_CASE("two teams beyond their shares divide the rest by weight") {
     fair_queue queue;
     team_limits limits;
     for (const auto& [team, weight] : {std::pair{flooder, 3.0}, std::pair{small, 1.0}}) {
@@ -79,7 +80,7 @@
     CHECK(of_flooder <= 152);
   }
 
-  TEST_CASE("a team beyond its share leaves places while others are within theirs, else none") {
+  TEST_CASE("a team beyond its share reserves places only while others are within theirs") {
     fair_queue queue;
     queue.set_credit(100.0);
     const start_policy policy;
@@ -93,7 +94,7 @@
     CHECK(may_start(queue, beyond, room_of(2.0), policy));
   }
 
-  TEST_CASE("what may not start does not hold up what is more urgent") {
+  TEST_CASE("a request that may not start does not block more urgent ones") {
     queue_filter filter;
     CHECK(narrow(filter, {1, work_class::standard, true, 1.0, {}}));
     CHECK_FALSE(filter.beyond_share);
@@ -103,7 +104,7 @@
     CHECK_FALSE(narrow(filter, {4, work_class::interactive, false, 0.0, {}}));
   }
 
-  TEST_CASE("a long prompt is read after the short ones of its class, and a flood's after all") {
+  TEST_CASE("a long prompt ranks after short ones of its class, a flooding team's prompt last") {
     const choice_policy policy;
     route_need need;
     need.kind = work_class::interactive;
@@ -121,7 +122,7 @@
     CHECK(engine_priority(urgency_count - 1) <= 9);
   }
 
-  TEST_CASE("only who takes more than its share of a pool that is short is beyond it") {
+  TEST_CASE("a team is beyond its share only if it uses more of an overloaded pool") {
     const std::vector<team_weight> weights{{flooder, 1.0}, {small, 1.0}};
     share_inputs inputs{100.0, 1000.0, {}, {}};
     const auto plan = [&] {
@@ -132,10 +133,10 @@
     CHECK(share_of(plan(), flooder).excess == 1.0);
     CHECK(share_of(plan(), small).excess == 0.0);
     CHECK(plan().entitled_part == doctest::Approx(0.3));
-    // A single draft makes a small team want more than its share for a moment.
+    // One long request makes a small team demand more than its share for a moment.
     inputs.all = report({{flooder, 5000, 700, 9000}, {small, 900, 300, 900}}, 9000);
     CHECK(share_of(plan(), small).excess == 0.0);
-    // With next to nothing waiting the pool is not short, and nobody is held back.
+    // With hardly any waiting requests the pool is not overloaded, and no team is limited.
     inputs.all = report({{flooder, 5000, 700, 50}, {small, 300, 300, 0}}, 50);
     CHECK(share_of(plan(), flooder).excess == 0.0);
     CHECK(plan().entitled_part == 0.0);
--- a/tests/routing/order_planner_test.cpp
+++ b/tests/routing/order_planner_test.cpp
@@ -13,7 +13,7 @@
 const loadable frames{{model_id{"large"}, "3"}, "frames"};
 const pool_id lm{"lm"};
 
-/// A pool whose engines do as they are told, a round later.
+/// A pool whose engines execute each order before the next round.
 struct pool {
   std::vector<engine_view> engines;
   order_planner planner;
@@ -66,13 +66,13 @@
 } // namespace
 
 TEST_SUITE("orders to engines") {
-  TEST_CASE("of two hosts that claim a pool at once the first in the log decides") {
+  TEST_CASE("of two concurrent claims on a pool the first in the log wins") {
     pool_claims claims;
     const incarnation a{host_id{"a"}, 1};
     const incarnation b{host_id{"b"}, 1};
     CHECK(claims.apply({lm, a, 0}, 10));
     CHECK_FALSE(claims.apply({lm, b, 0}, 11));
-    CHECK_FALSE(claims.apply({lm, a, 0}, 12)); // a repeat whose first answer was lost
+    CHECK_FALSE(claims.apply({lm, a, 0}, 12)); // repeated because the acknowledgement was lost
     CHECK(claims.epoch_of(lm, a) == 10);
     CHECK(claims.epoch_of(lm, b) == 0);
     CHECK(claims.apply({lm, b, 10}, 20));
@@ -80,7 +80,7 @@
     CHECK(claims.epoch_of(lm, b) == 20);
   }
 
-  TEST_CASE("one live host is due to claim when the decider is gone, and none before") {
+  TEST_CASE("exactly one live host claims a pool when its decider is gone, and none before") {
     pool_claims claims;
     const std::vector<incarnation> live{{host_id{"a"}, 1}, {host_id{"b"}, 1}, {host_id{"c"}, 1}};
     CHECK(claims.apply({lm, live[0], 0}, 10));
@@ -91,12 +91,12 @@
     };
     CHECK(due(live) == 0);
     CHECK(due(std::span{live}.last(2)) == 1);
-    // The same host in a new incarnation is not the decider.
+    // A restarted host is a new incarnation and not the decider.
     const std::vector<incarnation> restarted{{host_id{"a"}, 2}, live[1], live[2]};
     CHECK(due(restarted) == 1);
   }
 
-  TEST_CASE("the goals are reached within the weight store's rate and spread over data centres") {
+  TEST_CASE("goals are reached within the weight store's rate, spread over data centres") {
     pool p{6};
     const pool_goal goal = goal_of({{large, 4}, {small, 2}, {frames, 2}});
     std::size_t loads_in_first_5_s = 0;
@@ -120,7 +120,7 @@
     }
   }
 
-  TEST_CASE("a lost engine's models are loaded elsewhere without an operator") {
+  TEST_CASE("a lost engine's models are loaded on another engine") {
     pool p{6};
     const pool_goal goal = goal_of({{large, 3}});
     for (int i = 0; i < 30; ++i)
@@ -136,7 +136,7 @@
     CHECK(p.holders(large) == 3);
   }
 
-  TEST_CASE("an unanswered order is repeated under its own number, not given anew") {
+  TEST_CASE("an unanswered order is resent with the same id") {
     pool p{1};
     const pool_goal goal = goal_of({{large, 1}});
     for (int i = 0; i < 12; ++i)
@@ -146,9 +146,9 @@
       CHECK(order.id == p.all[0].id);
   }
 
-  TEST_CASE("engines that ignore fencing get only loads") {
-    // A decider that was paused for an hour wakes up and its old unload reaches an engine that
-    // takes any order: the model that everyone now uses is gone.
+  TEST_CASE("engines that ignore fencing receive only loads") {
+    // A decider that was paused for an hour resumes, and its outdated unload reaches an engine that
+    // accepts any order: the engine unloads a model that is in use.
     pool p{4};
     for (engine_view& engine : p.engines)
       engine.held = {old_large, small};
@@ -165,7 +165,7 @@
     CHECK(fenced.holders(old_large) == 0);
   }
 
-  TEST_CASE("after a newer epoch was seen nothing more is ordered") {
+  TEST_CASE("no orders are sent after an engine has seen a newer epoch") {
     pool p{4};
     const pool_goal goal = goal_of({{large, 4}});
     const auto orders = p.round(goal, false);
@@ -175,7 +175,7 @@
       CHECK(p.round(goal).empty());
   }
 
-  TEST_CASE("each engine hears of a new decider until it has answered") {
+  TEST_CASE("a new decider is announced to each engine until the engine confirms") {
     pool p{2};
     const auto first = p.planner.introductions(p.engines, p.now);
     REQUIRE(first.size() == 2);
@@ -190,7 +190,7 @@
     CHECK(p.planner.epoch() == 0);
   }
 
-  TEST_CASE("a new version takes an old one's place on one engine after the other") {
+  TEST_CASE("a new version replaces the old one on one engine at a time") {
     planner_policy policy;
     policy.models_per_engine = 1;
     pool p{3, policy};
@@ -204,7 +204,7 @@
     CHECK(p.holders(old_large) == 0);
   }
 
-  TEST_CASE("a busy weight store is left alone for as long as it asks") {
+  TEST_CASE("an overloaded weight store gets no orders for as long as it requests") {
     pool p{4};
     const pool_goal goal = goal_of({{large, 4}});
     const auto orders = p.round(goal, false);
@@ -218,7 +218,7 @@
     CHECK(later > 0);
   }
 
-  TEST_CASE("a short lull unloads nothing; a lasting change makes room for what is wanted") {
+  TEST_CASE("a short drop in demand unloads nothing; a lasting change makes room") {
     planner_policy policy;
     policy.models_per_engine = 1;
     pool p{4, policy};
@@ -235,7 +235,7 @@
     CHECK(p.holders(small) == 3);
   }
 
-  TEST_CASE("roles follow the goal one engine at a time") {
+  TEST_CASE("roles change to the goal one engine at a time") {
     pool p{4};
     pool_goal goal = goal_of({});
     goal.prefill_engines = prefill_goal(4, 40000.0, 1000.0, 10000.0, 1000.0);
@@ -247,7 +247,7 @@
     CHECK(std::ranges::count(p.engines, endpoint_role::prefill, &engine_view::role) == 3);
   }
 
-  TEST_CASE("replicas follow demand above a floor") {
+  TEST_CASE("replicas follow demand above the minimum") {
     const std::vector<item_demand> demand{{large, 900.0}, {small, 100.0}};
     const auto goals = goals_by_demand(demand, 10, 14, 2);
     CHECK(goals[0].replicas == 10);
--- a/tests/routing/quarantine_test.cpp
+++ b/tests/routing/quarantine_test.cpp
@@ -24,9 +24,9 @@
 } // namespace
 
 TEST_SUITE("quarantine") {
-  TEST_CASE("content that ended two endpoints is not run a third time; those beside it are free") {
-    // Replica after replica goes down: a caller sends a request again each time it fails, and each
-    // endpoint that runs it crashes.
+  TEST_CASE(
+      "content that crashed two endpoints is quarantined, and other content there is cleared") {
+    // A caller resends a request each time it fails, and each endpoint that runs it crashes.
     quarantine_table table;
     table.note_death(name(1), 1, runs({poison, innocent, 101, 102}), 10_s);
     CHECK(table.standing(poison) == content_standing::suspect);
@@ -37,7 +37,7 @@
       CHECK(table.standing(beside) == content_standing::clear);
   }
 
-  TEST_CASE("retries that enter by different hosts add up, whichever news comes first") {
+  TEST_CASE("deaths seen by different hosts add up in any order of news") {
     quarantine_table a;
     quarantine_table b;
     a.note_death(name(1), 7, runs({poison, innocent}), 10_s);
@@ -53,7 +53,7 @@
     CHECK(b.records(7_s).size() == 1);
   }
 
-  TEST_CASE("one endpoint that two hosts saw end counts once") {
+  TEST_CASE("one death seen by two hosts counts once") {
     quarantine_table a;
     quarantine_table b;
     a.note_death(name(1), 7, runs({poison}), 10_s);
@@ -62,9 +62,9 @@
     CHECK(a.standing(poison) == content_standing::suspect);
   }
 
-  TEST_CASE("a rack that goes down quarantines none of the requests that were retried inside it") {
-    // Chats are refused for an hour although nothing is wrong with them: they ran in a rack
-    // that lost power, were retried on a neighbour, and that went down a second later.
+  TEST_CASE("an outage of a rack quarantines no request that was retried within it") {
+    // Harmless requests would be refused for an hour: they ran in a rack that lost power and were
+    // retried on a neighbouring endpoint, which died a second later.
     quarantine_table table;
     table.note_death(name(1), 1, runs({innocent, 101}), 10_s);
     table.note_death(name(2), 1, runs({innocent, 201}), 11_s);
@@ -76,7 +76,7 @@
       CHECK(record.lifted);
   }
 
-  TEST_CASE("poison sent five times at once is still found, for it explains all five ends") {
+  TEST_CASE("crashing content sent five times at once is found, as it ran on all five endpoints") {
     quarantine_table table;
     for (int i = 1; i <= 5; ++i)
       table.note_death(name(i), 1, runs({poison, content_fingerprint(1000 + i)}),
@@ -84,13 +84,13 @@
     CHECK(table.standing(poison) == content_standing::quarantined);
   }
 
-  TEST_CASE("content that many callers send is on every endpoint that ends and stays free") {
+  TEST_CASE("content that many callers send is not suspected although it runs on every endpoint") {
     quarantine_table table;
     table.note_survived(innocent, 1_s, true, 5_s);
     table.note_death(name(1), 1, runs({innocent}), 10_s);
     table.note_death(name(2), 1, runs({innocent}), 100_s);
     CHECK(table.standing(innocent) == content_standing::clear);
-    // Another host, at which it has not come through yet, learns it from this one.
+    // Another host, on which no run has completed yet, learns this from the first one.
     quarantine_table other;
     other.note_death(name(3), 1, runs({innocent}), 100_s);
     table.merge(other.take_news(), 101_s);
@@ -98,7 +98,7 @@
     CHECK(other.standing(innocent) == content_standing::clear);
   }
 
-  TEST_CASE("a suspect that comes through, or gets past where it was cut, is cleared") {
+  TEST_CASE("a suspect is cleared when a run completes or lasts past the point of the crash") {
     quarantine_table table;
     table.note_death(name(1), 1, runs({innocent, 101}), 10_s);
     table.note_survived(innocent, 500_ms, false, 11_s);
@@ -109,7 +109,7 @@
     CHECK(table.standing(101) == content_standing::clear);
   }
 
-  TEST_CASE("two contents that were together on both ends are told apart by the next") {
+  TEST_CASE("two contents that ran together at both deaths are distinguished by the next death") {
     quarantine_table table;
     table.note_death(name(1), 1, runs({poison, innocent}), 10_s);
     table.note_death(name(2), 1, runs({poison, innocent}), 20_s);
@@ -120,7 +120,7 @@
     CHECK(table.standing(innocent) == content_standing::clear);
   }
 
-  TEST_CASE("a quarantine ends by its time, or by an operator, for every host") {
+  TEST_CASE("a quarantine expires or is lifted by an operator, on every host") {
     quarantine_table a;
     quarantine_table b;
     for (int i = 1; i <= 2; ++i)
@@ -132,7 +132,7 @@
     const quarantine_news lifted = b.take_news();
     a.merge(lifted, 31_s);
     CHECK(a.standing(poison) == content_standing::clear);
-    // An old verdict that comes late does not bring it back.
+    // An outdated record does not restore the quarantine.
     quarantine_news stale;
     stale.records.push_back({poison, 1, false, 3600_s, {}});
     a.merge(stale, 32_s);
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -19,8 +19,9 @@
 } // namespace
 
 TEST_SUITE("retries") {
-  TEST_CASE("what may have run and is not idempotent is never sent again, and the answer says so") {
-    // A doubled order is a real parcel: the answer to the first attempt was lost after it had run.
+  TEST_CASE("a request that may have run and is not idempotent is never retried") {
+    // The response to the first attempt was lost after it had run. A retry would book the order
+    // twice and ship a second parcel.
     CHECK(rc::check([] {
       retry_policy policy;
       retry_budget budget{policy};
@@ -40,9 +41,9 @@
     }));
   }
 
-  TEST_CASE("when everything fails, retries stop adding load; fixed retries triple it") {
-    // A pool answers nothing but errors for a minute. With three fixed attempts each request
-    // comes three times, and the pool never recovers under its own callers' retries.
+  TEST_CASE("retries stop when every request fails, while fixed retries triple the load") {
+    // A pool returns only errors for a minute. With three fixed attempts each request is sent three
+    // times, and the load of the retries keeps the pool from recovering.
     retry_policy policy;
     retry_budget budget{policy};
     random_source random{1};
@@ -62,9 +63,9 @@
     CHECK(retries * 100 <= fixed_retries);
   }
 
-  TEST_CASE("a quiet host can afford the retries of a few requests in a row") {
-    // A prompt crashed an engine, and the two callers behind it met the same engine before it was
-    // known to be gone. With one retry saved up, the second of them was refused for nothing.
+  TEST_CASE("a host with little traffic can retry a few requests in a row") {
+    // A prompt crashes an engine, and the next two requests are sent to the same engine before its
+    // death is detected. With a reserve of one retry, the second of them was refused needlessly.
     retry_budget budget{retry_policy{}};
     const time_ms now = 60_s;
     for (int i = 0; i < 5; ++i)
@@ -74,7 +75,8 @@
     CHECK(budget.spend(now + 1_s));
   }
 
-  TEST_CASE("the wait doubles, is jittered by half at most, and honours the endpoint's own wish") {
+  TEST_CASE(
+      "the backoff doubles, has jitter of at most half, and honours the endpoint's retry-after") {
     retry_policy policy;
     random_source random{3};
     for (std::uint32_t attempts = 1; attempts < 12; ++attempts)
@@ -92,7 +94,7 @@
     CHECK(decide_retry(failed, policy, budget, random, time_ms{0}).action == retry_action::refuse);
   }
 
-  TEST_CASE("a run that goes on is taken up again, whether it is idempotent or not") {
+  TEST_CASE("a run that continues is resumed, idempotent or not") {
     retry_policy policy;
     retry_budget budget{policy};
     random_source random{3};
@@ -105,7 +107,7 @@
     CHECK(d.refusal == error_kind::stream_cut);
   }
 
-  TEST_CASE("a second attempt is started only where it is safe, late enough and affordable") {
+  TEST_CASE("a hedge starts only if it is safe, late enough and within the budget") {
     retry_budget budget;
     const hedge_policy policy;
     hedge_case waiting;
--- a/tests/routing/run_lengths_test.cpp
+++ b/tests/routing/run_lengths_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace sedgechute;
 
-TEST_CASE("lengths are unknown until some runs have ended") {
+TEST_CASE("durations are unknown until enough runs have ended") {
   run_lengths lengths;
   for (int i = 0; i < 7; ++i)
     lengths.note("a", time_ms{100});
@@ -14,10 +14,10 @@
   CHECK_FALSE(lengths.within("b", 90).has_value());
 }
 
-TEST_CASE("the part of the last runs that ended within a length") {
+TEST_CASE("the duration within which a percentage of the last runs ended") {
   run_lengths lengths;
   for (int i = 0; i < 50; ++i)
-    lengths.note("a", time_ms{10000}); // long ago
+    lengths.note("a", time_ms{10000}); // replaced by the next 64
   for (int i = 1; i <= 64; ++i)
     lengths.note("a", time_ms{i});
   CHECK(lengths.within("a", 50) == time_ms{33});
@@ -25,7 +25,7 @@
   CHECK(lengths.within("a", 100) == time_ms{64});
 }
 
-TEST_CASE("kinds without end take no memory without end") {
+TEST_CASE("memory is bounded for any number of kinds") {
   run_lengths lengths;
   for (int kind = 0; kind < 2000; ++kind)
     for (int i = 0; i < 8; ++i)
--- a/tests/routing/share_plan_test.cpp
+++ b/tests/routing/share_plan_test.cpp
@@ -28,9 +28,9 @@
 } // namespace
 
 TEST_SUITE("share plan") {
-  TEST_CASE("a team that enters by one host gets the same as one that enters by both") {
-    // A team whose callers happen to land on one entry host gets half of what it paid for,
-    // because each host divides its own part of the pool alone.
+  TEST_CASE("a team that enters through one host gets the same as one that enters through both") {
+    // If each host divided its own part of the pool alone, a team whose callers all connect to one
+    // host would get half of what it has paid for.
     const std::vector<share_report> reports{
         report({{north, 5000, 300}, {south, 5000, 150}}),
         report({{south, 5000, 450}}),
@@ -39,11 +39,11 @@
     const share_plan second = plan_of(reports, 1, 100.0, 1000.0);
     CHECK(first.slots == doctest::Approx(75.0).epsilon(0.02));
     CHECK(second.slots == doctest::Approx(25.0).epsilon(0.03));
-    // On the first host north gets two parts and south one, and more as it was behind.
+    // On the first host north gets two parts and south one, and more to correct north's deficit.
     CHECK(first.teams[0].weight / first.teams[1].weight >= 2.0);
   }
 
-  TEST_CASE("credit sums to the pool, whatever the demand, and each host can start at once") {
+  TEST_CASE("credits sum to the pool for any demand, and each host can start a request at once") {
     CHECK(rc::check([] {
       const auto hosts = *rc::gen::inRange<std::size_t>(1, 12);
       std::vector<share_report> reports;
@@ -67,7 +67,7 @@
     }));
   }
 
-  TEST_CASE("what a team does not want goes to the others, and a sum of sums is the same sum") {
+  TEST_CASE("an unused share goes to other teams, and a sum of sums equals the direct sum") {
     const std::vector<share_report> reports{report({{north, 100, 0}, {south, 9000, 0}}),
                                             report({{south, 900, 0}})};
     const share_report sum = merge_reports(reports, 64);
@@ -87,7 +87,7 @@
     CHECK(first.teams.back().fraction > 4 * second.teams[0].fraction);
   }
 
-  TEST_CASE("a report names a bounded number of teams and loses no demand") {
+  TEST_CASE("a report names a bounded number of teams and preserves the total demand") {
     std::vector<team_demand> many;
     for (int i = 0; i < 830; ++i)
       many.push_back(
--- a/tests/routing/share_relay_test.cpp
+++ b/tests/routing/share_relay_test.cpp
@@ -38,7 +38,7 @@
     return made;
   }
 
-  /// Those of one side see and hear only each other.
+  /// Partitions the fleet: hosts reach only hosts on their own side.
   void cut(const std::set<std::size_t>& side) {
     side_ = side;
     set_views();
@@ -81,7 +81,7 @@
       hosts.insert(i);
     return hosts;
   }
-  /// The host that most others of its data centre report to.
+  /// The data centre's speaker for the pool.
   [[nodiscard]] std::size_t speaker_of(const data_centre_id& data_centre) const {
     std::vector<host_id> near;
     for (const share_member& one : members_)
@@ -136,7 +136,7 @@
       for (int i = 0; i < (repeat_all ? 2 : 1); ++i)
         for (const share_report& report : one.reports)
           relays_[to]->merge(report, now_);
-      // The last message comes once more, after a newer one: too late to count.
+      // Repeats the previous message after the newer one; it is outdated and must have no effect.
       if (repeat_all)
         for (const share_report& report : std::exchange(held_[to], one.reports))
           relays_[to]->merge(report, now_);
@@ -157,9 +157,9 @@
 } // namespace
 
 TEST_SUITE("share relay") {
-  TEST_CASE("a plan from the answer is the plan from the whole sum") {
-    // If the speaker's answer divided the pool otherwise than the sum does, hosts would take more
-    // or less than their teams' shares, and by different rules on speakers and on other hosts.
+  TEST_CASE("a plan from a speaker's answer equals the plan from the whole sum") {
+    // If a speaker's answer divided the pool differently from the sum, hosts would take more or
+    // less than their teams' shares, and speakers would divide differently from other hosts.
     CHECK(rc::check([] {
       const auto hosts = *rc::gen::inRange<std::size_t>(1, 8);
       std::vector<share_report> reports;
@@ -199,17 +199,17 @@
     }));
   }
 
-  TEST_CASE("credits sum to the pool, and a host hears only of the teams that it named") {
+  TEST_CASE("credits sum to the pool, and an answer names only the teams that the host named") {
     relay_fleet fleet{12, 40};
     fleet.run(4);
     CHECK(fleet.credits(fleet.all(), 240.0) == doctest::Approx(240.0).epsilon(0.001));
     CHECK(fleet.most_teams_told == 3);
   }
 
-  TEST_CASE("when a speaker dies its hosts keep their shares and hear of them again") {
-    // All hosts of a data centre suddenly send as if they had the pool to themselves, and callers
-    // of the other data centres wait behind them. The host that spoke for the pool died; its
-    // successor had heard nobody and answered that there was no other demand.
+  TEST_CASE("hosts keep their shares when their speaker dies, and get new answers") {
+    // A speaker dies, and its successor, which has no reports yet, answers that there is no other
+    // demand. All hosts of the data centre would then send as if they had the pool to themselves,
+    // and callers in other data centres would wait behind them.
     relay_fleet fleet{12, 40};
     fleet.run(4);
     fleet.crash(fleet.speaker_of(relay_fleet::centre(0)), false);
@@ -224,10 +224,10 @@
     CHECK(fleet.credits(fleet.all(), 240.0) == doctest::Approx(240.0).epsilon(0.001));
   }
 
-  TEST_CASE("a partition leaves each side dividing what it hears") {
-    // For an hour half of the pool stands idle while callers wait: one data centre is cut off, and
-    // both sides go on leaving the other its share. The cut goes through a data centre, too, so
-    // that one part of it is without its speaker.
+  TEST_CASE("in a partition each side divides the pool over the hosts that it reaches") {
+    // If both sides of a partition kept reserving the other side's share, half of the pool would be
+    // idle while callers wait. The partition also splits a data centre, so that one part of it has
+    // lost its speaker.
     relay_fleet fleet{12, 40};
     fleet.run(4);
     const std::set<std::size_t> side{0, 3, 6, 1, 4};
@@ -243,7 +243,7 @@
     CHECK(fleet.credits(fleet.all(), 240.0) == doctest::Approx(240.0).epsilon(0.001));
   }
 
-  TEST_CASE("lost, repeated and late messages leave the shares as they are") {
+  TEST_CASE("lost, repeated and late messages do not change the shares") {
     relay_fleet fleet{12, 40};
     fleet.loss = 0.1;
     fleet.repeat_all = true;
@@ -254,7 +254,7 @@
     }
   }
 
-  TEST_CASE("rounds grow with the fleet, and few hosts react within a second") {
+  TEST_CASE("rounds last longer in larger fleets, and one second in small ones") {
     CHECK(share_relay{{host_id{"a"}, 1}, data_centre_id{"dc"}}.interval() == time_ms{1000});
     const auto interval_of = [](std::size_t hosts) {
       share_relay relay{{host_id{"entry-0"}, 1}, relay_fleet::centre(0)};
--- a/tests/routing/stop_policy_test.cpp
+++ b/tests/routing/stop_policy_test.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("within the notice a host takes what likely ends before the cut") {
+TEST_CASE("within the notice a host accepts what likely ends before the cutoff") {
   CHECK(may_take(bounds, time_ms{0}, quick));
   CHECK(may_take(bounds, time_ms{2599}, quick));
   CHECK(may_take(bounds, time_ms{0}, long_one));
@@ -24,15 +24,16 @@
   CHECK_FALSE(may_take(bounds, time_ms{0}, {time_ms{7501}, time_ms{15000}}));
 }
 
-// Most of a kind end sooner than its longest, and what is taken on that is cut now and then.
-TEST_CASE("after the notice a host takes only what is sure to end before the cut") {
+// The likely duration holds only for most requests of a kind, so some of those accepted by it are
+// cut off.
+TEST_CASE("after the notice a host accepts only what is certain to end before the cutoff") {
   CHECK(may_take(bounds, time_ms{2600}, quick));
   CHECK(may_take(bounds, time_ms{6000}, quick));
   CHECK_FALSE(may_take(bounds, time_ms{6001}, quick));
   CHECK_FALSE(may_take(bounds, time_ms{2600}, long_one));
 }
 
-TEST_CASE("a host ends when the notice is over and nothing runs, or at the cut") {
+TEST_CASE("a host exits when the notice is over and no request is open, or at the cutoff") {
   CHECK_FALSE(may_end(bounds, time_ms{0}, 0));
   CHECK_FALSE(may_end(bounds, time_ms{2599}, 0));
   CHECK(may_end(bounds, time_ms{2600}, 0));
@@ -41,15 +42,15 @@
   CHECK(may_end(bounds, time_ms{7500}, 1));
 }
 
-TEST_CASE("bounds that contradict each other are found") {
+TEST_CASE("contradictory bounds are detected") {
   CHECK(fault_of(bounds) == stop_fault::none);
   CHECK(fault_of({time_ms{500}, time_ms{0}, time_ms{500}}) == stop_fault::no_time);
   CHECK(fault_of({time_ms{3000}, time_ms{2600}, time_ms{500}}) == stop_fault::notice_too_long);
 }
 
-// A site may give its hosts any grace. Steps of the exit that took longer than what is kept for it
-// would be ended by force, with tokens and log lines lost.
-TEST_CASE("the steps of the exit fit into what is kept for it") {
+// The grace is configurable. If the steps of the exit took longer than the time kept for it, the
+// process would be killed, and tokens and log lines would be lost.
+TEST_CASE("the steps of the exit fit into the time kept for it") {
   rc::check([] {
     const stop_bounds any{time_ms{*rc::gen::inRange(0, 700000)}, time_ms{0},
                           time_ms{*rc::gen::inRange(0, 5000)}};
@@ -63,10 +64,9 @@
   CHECK(usual.lines == time_ms{100});
 }
 
-// A machine that stood still, or had no processor, comes to the cut late. Steps as long as ever
-// would outlast the grace, and the process would be killed with the last lines of its log
-// unwritten.
-TEST_CASE("a cut that comes late leaves shorter steps to the exit") {
+// A host that was stalled or got no CPU time reaches the cutoff late. Full-length steps would
+// exceed the grace, and the process would be killed before its last log lines are written.
+TEST_CASE("the steps of an exit that begins late are shorter") {
   rc::check([] {
     const auto ms = [](int most) { return time_ms{*rc::gen::inRange(0, most)}; };
     const stop_bounds any{ms(20000), time_ms{0}, ms(5000)};
@@ -86,7 +86,7 @@
   CHECK(early.answers == time_ms{100});
 }
 
-TEST_CASE("what is taken after the notice is never running at the cut") {
+TEST_CASE("no request accepted after the notice runs at the cutoff") {
   rc::check([] {
     const auto ms = [](int most) { return time_ms{*rc::gen::inRange(0, most)}; };
     const stop_bounds any{ms(20000), ms(5000), ms(2000)};
--- a/tests/routing/wire_test.cpp
+++ b/tests/routing/wire_test.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 TEST_SUITE("routing messages") {
-  TEST_CASE("a message comes back from its bytes as it was") {
+  TEST_CASE("a message is unchanged after encoding and decoding") {
     const routing_message message = sample();
     wire::routing_message parsed;
     CHECK(parsed.ParseFromString(to_wire(message).SerializeAsString()));
@@ -64,7 +64,7 @@
     CHECK(claim_back.replaces == 17);
   }
 
-  TEST_CASE("what no host sends is rejected by its field") {
+  TEST_CASE("a message with an invalid field is rejected") {
     const auto rejected = [](auto&& damage) {
       wire::routing_message message = to_wire(sample());
       damage(message);
@@ -88,7 +88,7 @@
     });
   }
 
-  TEST_CASE("a report of the most teams stays under four kilobytes") {
+  TEST_CASE("a report of the most teams is smaller than four kilobytes") {
     routing_message message;
     share_report report;
     report.pool = pool_id{"lm"};
