--- a/bench/slopes/routing_run.cpp
+++ b/bench/slopes/routing_run.cpp
@@ -127,7 +127,7 @@
       inputs.pool_slots = 12'000;
       inputs.pool_rate = 140'000;
       inputs.own = reports.front();
-      inputs.all = merge_reports(reports, share_policy{}.most_teams);
+      inputs.all = merge_reports(reports, share_policy{}.max_teams);
       keep(plan_shares(inputs, {}, share_policy{}));
     }
     cpu.points.push_back({static_cast<double>(hosts), (thread_cpu_us() - start) / repeats});
--- a/src/daemon/impl/dispatch_service.cpp
+++ b/src/daemon/impl/dispatch_service.cpp
@@ -435,7 +435,7 @@
       report.teams.push_back(demand);
   }
   // Merging names only the largest demands and forgets whose report it is.
-  share_report bounded = merge_reports(std::span{&report, 1}, share_policy{}.most_teams);
+  share_report bounded = merge_reports(std::span{&report, 1}, share_policy{}.max_teams);
   bounded.pool = id;
   bounded.from = self;
   bounded.sequence = report.sequence;
--- a/src/daemon/impl/order_service.cpp
+++ b/src/daemon/impl/order_service.cpp
@@ -140,7 +140,7 @@
       goal_of(pool, views, state.demand, state.planner.policy().models_per_engine);
   std::vector<engine_order> orders;
   if (pool.honours_fencing)
-    orders = state.planner.introductions(views, now);
+    orders = state.planner.epoch_announcements(views, now);
   std::ranges::move(state.planner.plan(goal, views, now), std::back_inserter(orders));
   count_withheld(pool.name, state);
   return orders;
--- a/src/entry/impl/entry_host.cpp
+++ b/src/entry/impl/entry_host.cpp
@@ -149,7 +149,7 @@
   serve_until_end(stop);
   const std::size_t cut = relay_->open();
   stop.cut();
-  const exit_spans spans = spans_of_exit(settings_.stop, stop.since());
+  const exit_timeouts spans = exit_timeouts_for(settings_.stop, stop.since());
   wait_until([&] { return callers_->busy() == 0; }, spans.answers);
   const bool handed_back = budgets_->finish(spans.exchange);
   log_.write(severity::info, "stopped", {},
--- a/src/gateway/impl/run_request.cpp
+++ b/src/gateway/impl/run_request.cpp
@@ -294,11 +294,11 @@
     if (callers_fault)
       return refuse(error_kind::invalid_parameter, "the engine refused the request with status " +
                                                        std::to_string(rejected_status));
-    const failed_so_far so_far{.may_have_run = ran,
-                               .harmless_twice = request_.idempotent,
-                               .answer_begun = sink_.delivered(),
-                               .attempts = static_cast<std::uint32_t>(attempts_),
-                               .most_attempts = most_attempts};
+    const failed_request so_far{.may_have_run = ran,
+                                .idempotent = request_.idempotent,
+                                .response_started = sink_.delivered(),
+                                .attempts = static_cast<std::uint32_t>(attempts_),
+                                .max_attempts = most_attempts};
     const auto wait = may_attempt_again(so_far)
                           ? host_.dispatch.retry_after_failure(wanted_, attempts_)
                           : std::nullopt;
--- a/src/gateway/impl/service_call.cpp
+++ b/src/gateway/impl/service_call.cpp
@@ -244,10 +244,10 @@
       return result;
     }
     wanted.avoid.push_back(result.endpoint);
-    const failed_so_far so_far{.may_have_run = result.may_have_run,
-                               .harmless_twice = call.idempotent,
-                               .attempts = static_cast<std::uint32_t>(result.attempts),
-                               .most_attempts = most_attempts};
+    const failed_request so_far{.may_have_run = result.may_have_run,
+                                .idempotent = call.idempotent,
+                                .attempts = static_cast<std::uint32_t>(result.attempts),
+                                .max_attempts = most_attempts};
     const auto wait = may_attempt_again(so_far) && body.replayable()
                           ? host.dispatch.retry_after_failure(wanted, result.attempts)
                           : std::nullopt;
--- a/src/relay/impl/request_relay.hpp
+++ b/src/relay/impl/request_relay.hpp
@@ -11,7 +11,7 @@
 #include "relay/impl/preparing_requests.hpp"
 #include "relay/impl/retry_allowance.hpp"
 #include "relay/impl/wire_dialect.hpp"
-#include "routing/impl/run_lengths.hpp"
+#include "routing/impl/run_durations.hpp"
 #include "telemetry/telemetry.hpp"
 
 #include <atomic>
@@ -119,7 +119,7 @@
   planned_stop stop_;
   mutable ordered_mutex mutex_{lock_rank::requests};
   retry_allowance repeats_;
-  run_lengths lengths_;
+  run_durations lengths_;
   random_source random_{random_source::from_system()};
   std::atomic<std::size_t> open_{0};
   preparing_requests preparing_;
--- a/src/relay/impl/send_rules.cpp
+++ b/src/relay/impl/send_rules.cpp
@@ -16,12 +16,12 @@
 constexpr std::int64_t pauses_before_stall = 5;
 constexpr time_ms least_stall{600};
 
-failed_so_far failed_on(const route& on, int sends, bool may_have_run,
-                        bool harmless_twice) noexcept {
+failed_request failed_on(const route& on, int sends, bool may_have_run,
+                         bool harmless_twice) noexcept {
   return {.may_have_run = may_have_run,
-          .harmless_twice = harmless_twice,
+          .idempotent = harmless_twice,
           .attempts = static_cast<std::uint32_t>(sends),
-          .most_attempts = static_cast<std::uint32_t>(on.most_attempts)};
+          .max_attempts = static_cast<std::uint32_t>(on.most_attempts)};
 }
 
 run_end refused(error_kind kind, const std::string& where, const std::string& why,
--- a/src/routing/impl/choose_endpoint.hpp
+++ b/src/routing/impl/choose_endpoint.hpp
@@ -21,15 +21,17 @@
 /// \brief Conditions under which the next request may be sent to its chosen endpoint.
 struct start_policy {
   /// Places that each class leaves free at an endpoint for more urgent classes.
-  std::array<double, work_class_count> places_left{0.0, 2.0, 4.0};
+  std::array<double, work_class_count> reserved_places{0.0, 2.0, 4.0};
   /// After this wait a class may use any place within this host's credit.
   std::array<time_ms, work_class_count> wait_for_place{time_ms{0}, time_ms{500}, time_ms{3000}};
   /// Longest expected wait at the endpoint, in ms, for which a class is sent there. With a longer
   /// one it stays in this host's queue, where it can still be reordered.
-  std::array<double, work_class_count> most_queue_ms{400.0, 800.0, 1500.0};
-  double places_left_beyond{6.0}; ///< places that a team beyond its share leaves at an endpoint
-  double credit_left_beyond{0.2}; ///< fraction of this host's credit that such a team leaves
-  double full_reserve_at{0.3};    ///< pool fraction used by teams within share for a full reserve
+  std::array<double, work_class_count> max_queue_ms{400.0, 800.0, 1500.0};
+  double reserved_places_beyond_share{
+      6.0}; ///< places that a team beyond its share leaves at an endpoint
+  double reserved_credit_beyond_share{
+      0.2};                    ///< fraction of this host's credit that such a team leaves
+  double full_reserve_at{0.3}; ///< pool fraction used by teams within share for a full reserve
 };
 
 /// \returns whether the next request may be sent to the chosen endpoint now: into a place that is
--- a/src/routing/impl/endpoint_health.cpp
+++ b/src/routing/impl/endpoint_health.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double gain = 0.2;
-constexpr double small_ms = 30.0; // damps ratios of very short times
-constexpr std::uint32_t most_doublings = 5;
+constexpr double damping_ms = 30.0; // damps ratios of very short times
+constexpr std::uint32_t max_doublings = 5;
 
 void moving_average(double& average, double value, std::uint32_t samples) {
   const double weight = std::max(gain, 1.0 / (1.0 + samples));
@@ -24,8 +24,8 @@
   return *middle;
 }
 
-bool judged(const endpoint_health& health, const health_policy& policy, time_ms now) {
-  return health.samples >= policy.least_samples && now - health.last_sample < policy.sample_life;
+bool is_comparable(const endpoint_health& health, const health_policy& policy, time_ms now) {
+  return health.samples >= policy.min_samples && now - health.last_sample < policy.sample_life;
 }
 
 struct peer_medians {
@@ -40,7 +40,7 @@
   std::vector<double> pace;
   std::vector<double> failures;
   for (const endpoint_health* const health : pool) {
-    if (!judged(*health, policy, now))
+    if (!is_comparable(*health, policy, now))
       continue;
     ratios.push_back(slowness(*health));
     failures.push_back(health->failures);
@@ -52,8 +52,8 @@
 }
 
 // Largest ratio of a metric to its tolerated value; from 1 on the endpoint is an outlier.
-double badness(const endpoint_health& health, const peer_medians& peers,
-               const health_policy& policy) {
+double outlier_ratio(const endpoint_health& health, const peer_medians& peers,
+                     const health_policy& policy) {
   double worst = slowness(health) / (std::max(1.0, peers.slowness) * policy.slow_ratio);
   if (peers.pace_ms > 0.0)
     worst = std::max(worst, health.pace_ms / (peers.pace_ms * policy.slow_ratio));
@@ -62,13 +62,13 @@
   return worst;
 }
 
-time_ms span_of(const health_policy& policy, std::uint32_t earlier) {
-  const std::uint32_t doublings = std::min(earlier, most_doublings);
-  return std::min(policy.most_ejection, policy.first_ejection * (std::int64_t{1} << doublings));
+time_ms ejection_duration(const health_policy& policy, std::uint32_t earlier) {
+  const std::uint32_t doublings = std::min(earlier, max_doublings);
+  return std::min(policy.max_ejection, policy.first_ejection * (std::int64_t{1} << doublings));
 }
 
 // Reinstates the endpoint without its history, so that a few requests decide again.
-void take_back(endpoint_health& health) {
+void reinstate(endpoint_health& health) {
   health.state = endpoint_state::serving;
   health.samples = 0;
   health.observed_ms = 0.0;
@@ -81,7 +81,7 @@
 } // namespace
 
 double slowness(const endpoint_health& health) noexcept {
-  return (health.observed_ms + small_ms) / (health.expected_ms + small_ms);
+  return (health.observed_ms + damping_ms) / (health.expected_ms + damping_ms);
 }
 
 void note_first_token(endpoint_health& health, double observed_ms, double expected_ms,
@@ -113,7 +113,7 @@
   if (health.failed_connects < policy.connect_failures || health.state == endpoint_state::leaving)
     return false;
   health.state = endpoint_state::unreachable;
-  health.until = now + span_of(policy, health.ejections);
+  health.until = now + ejection_duration(policy, health.ejections);
   ++health.ejections;
   return new_fault;
 }
@@ -123,7 +123,7 @@
   if (health.state != endpoint_state::unreachable)
     return false;
   health.ejections = 0;
-  take_back(health);
+  reinstate(health);
   return true;
 }
 
@@ -135,7 +135,7 @@
     const bool away =
         health->state == endpoint_state::ejected || health->state == endpoint_state::unreachable;
     if (away && health->until <= now) {
-      take_back(*health);
+      reinstate(*health);
       ++changed;
     } else if (health->state == endpoint_state::ejected) {
       ++ejected;
@@ -144,29 +144,30 @@
 
   const peer_medians peers = medians_of(pool, policy, now);
   struct suspect {
-    double badness;
+    double outlier_ratio;
     endpoint_health* health;
   };
   std::vector<suspect> suspects;
   for (endpoint_health* const health : pool) {
-    if (health->state != endpoint_state::serving || !judged(*health, policy, now))
+    if (health->state != endpoint_state::serving || !is_comparable(*health, policy, now))
       continue;
-    const double value = badness(*health, peers, policy);
+    const double value = outlier_ratio(*health, peers, policy);
     if (value >= 1.0)
       suspects.push_back({value, health});
     else
       health->ejections = 0;
   }
-  std::ranges::stable_sort(
-      suspects, [](const suspect& a, const suspect& b) { return a.badness > b.badness; });
+  std::ranges::stable_sort(suspects, [](const suspect& a, const suspect& b) {
+    return a.outlier_ratio > b.outlier_ratio;
+  });
 
   const auto allowed =
-      static_cast<std::size_t>(policy.most_ejected * static_cast<double>(pool.size()));
+      static_cast<std::size_t>(policy.max_ejected * static_cast<double>(pool.size()));
   for (const suspect& s : suspects) {
     if (ejected >= allowed)
       break;
     s.health->state = endpoint_state::ejected;
-    s.health->until = now + span_of(policy, s.health->ejections);
+    s.health->until = now + ejection_duration(policy, s.health->ejections);
     ++s.health->ejections;
     ++ejected;
     ++changed;
--- a/src/routing/impl/endpoint_health.hpp
+++ b/src/routing/impl/endpoint_health.hpp
@@ -27,13 +27,13 @@
 
 /// \brief Thresholds and durations of outlier ejection.
 struct health_policy {
-  std::uint32_t least_samples{6};    ///< required to compare an endpoint with its peers
+  std::uint32_t min_samples{6};      ///< required to compare an endpoint with its peers
   double slow_ratio{3.0};            ///< multiple of the peers' median that counts as slow
   double failure_share{0.5};         ///< fraction of failed requests that counts as failing
-  double most_ejected{0.34};         ///< fraction of a pool; never its last endpoint
+  double max_ejected{0.34};          ///< fraction of a pool; never its last endpoint
   std::uint32_t connect_failures{2}; ///< consecutive failures that make it unreachable
   time_ms first_ejection{5000};
-  time_ms most_ejection{60000};
+  time_ms max_ejection{60000};
   time_ms sample_life{30000}; ///< an endpoint without samples for this long is not compared
 };
 
@@ -67,7 +67,7 @@
 bool note_reachable(endpoint_health& health) noexcept;
 
 /// \brief Ejects endpoints that are slow or failing compared with their peers, worst first and at
-/// most `most_ejected` of the pool, and reinstates those whose ejection has expired. Call it about
+/// most `max_ejected` of the pool, and reinstates those whose ejection has expired. Call it about
 /// once a second.
 /// \param pool  all endpoints of one pool that are not leaving
 /// \returns number of endpoints that changed state
--- a/src/routing/impl/endpoint_table.cpp
+++ b/src/routing/impl/endpoint_table.cpp
@@ -10,14 +10,14 @@
 constexpr double trust_gain = 0.1;
 constexpr double miss_gain = 0.3;
 constexpr double hit_gain = 0.3;
-constexpr double proved_factor = 1.5;
+constexpr double hit_age_factor = 1.5;
 constexpr double settled_age_ms = 2000.0;
-constexpr double least_life_ms = 1000.0;
-constexpr double most_life_ms = 3'600'000.0;
-constexpr double doubt_per_missed_event = 0.001;
-constexpr double most_doubt = 0.2;
-constexpr double proved = 1.0;   // confidence if the engine reported the prefix
-constexpr double presumed = 0.9; // confidence after sending the prompt there
+constexpr double min_life_ms = 1000.0;
+constexpr double max_life_ms = 3'600'000.0;
+constexpr double trust_loss_per_missed_event = 0.001;
+constexpr double max_trust_loss = 0.2;
+constexpr double reported_confidence = 1.0; // confidence if the engine reported the prefix
+constexpr double sent_confidence = 0.9;     // confidence after sending the prompt there
 
 enum capability_kind : std::uint64_t { model_kind = 1, version_kind, adapter_kind };
 
@@ -41,10 +41,10 @@
 void learn_cache_life(double& life_ms, double age_ms, bool missed) {
   if (missed && age_ms > settled_age_ms && age_ms < life_ms)
     life_ms += miss_gain * (age_ms - life_ms);
-  const double proved_ms = age_ms * proved_factor;
+  const double proved_ms = age_ms * hit_age_factor;
   if (!missed && proved_ms > life_ms)
     life_ms += hit_gain * (proved_ms - life_ms);
-  life_ms = std::clamp(life_ms, least_life_ms, most_life_ms);
+  life_ms = std::clamp(life_ms, min_life_ms, max_life_ms);
 }
 
 } // namespace
@@ -97,14 +97,14 @@
     records_.emplace_back();
     record& fresh = records_.back();
     fresh.identity = stable_hash(info.id.str());
-    fresh.cache_life_ms = choice_.usual_cache_life_ms;
+    fresh.cache_life_ms = choice_.default_cache_life_ms;
   }
   record& known = records_[slot];
   const bool moved = known.info.pool != info.pool || known.info.data_centre != info.data_centre;
   if (known.present && !moved)
     return slot;
   if (known.present)
-    take_from_indexes(known, slot);
+    remove_from_indexes(known, slot);
   known.info = info;
   known.data_centre = data_centre_slot(info.data_centre);
   if (!known.present) {
@@ -112,7 +112,7 @@
     known.life = ++lives_;
     known.health = {};
     known.load = {};
-    known.load.set_view(all_heard_, choice_.told_staleness);
+    known.load.set_load_source(all_reported_, choice_.reported_use_staleness);
     known.suspects = 0;
   }
   last_resort_.add(slot, known.identity, stable_hash(info.pool.str()), known.capabilities,
@@ -121,7 +121,7 @@
   return slot;
 }
 
-void endpoint_table::take_from_indexes(record& known, std::uint32_t slot) {
+void endpoint_table::remove_from_indexes(record& known, std::uint32_t slot) {
   const std::uint64_t pool = stable_hash(known.info.pool.str());
   last_resort_.remove(slot, pool, known.capabilities, known.data_centre);
   if (known.active)
@@ -133,7 +133,7 @@
   record* const known = find(id);
   if (known == nullptr)
     return;
-  take_from_indexes(*known, slots_.at(id));
+  remove_from_indexes(*known, slots_.at(id));
   known->present = false;
   known->life = 0;
   known->capabilities.clear();
@@ -177,7 +177,7 @@
   const std::uint32_t slot = slots_.at(id);
   const std::uint64_t pool = stable_hash(known->info.pool.str());
   if (leaving) {
-    take_from_indexes(*known, slot);
+    remove_from_indexes(*known, slot);
     known->health.state = endpoint_state::leaving;
     return;
   }
@@ -204,7 +204,7 @@
   if (capabilities != known->capabilities) {
     const std::uint32_t slot = slots_.at(id);
     const bool indexed = known->health.state != endpoint_state::leaving;
-    take_from_indexes(*known, slot);
+    remove_from_indexes(*known, slot);
     known->capabilities = std::move(capabilities);
     if (indexed)
       last_resort_.add(slot, known->identity, stable_hash(known->info.pool.str()),
@@ -220,7 +220,7 @@
   if (!slot)
     return;
   if (stored)
-    prefixes_.learn_one(block, *slot, proved, now);
+    prefixes_.learn_one(block, *slot, reported_confidence, now);
   else
     prefixes_.forget_one(block, *slot);
 }
@@ -231,8 +231,9 @@
   record* const known = find(id);
   if (known == nullptr)
     return;
-  const double doubt = std::min(most_doubt, static_cast<double>(missed) * doubt_per_missed_event);
-  known->event_trust = std::max(1.0 - most_doubt, known->event_trust - doubt);
+  const double doubt =
+      std::min(max_trust_loss, static_cast<double>(missed) * trust_loss_per_missed_event);
+  known->event_trust = std::max(1.0 - max_trust_loss, known->event_trust - doubt);
 }
 
 route_attempt endpoint_table::start(const route_choice& choice, const route_need& need,
@@ -251,8 +252,8 @@
   attempt.started = now;
   known.suspects += attempt.suspect ? 1 : 0;
   known.load.started(attempt.urgency, attempt.unread, now);
-  prefixes_.learn(need.blocks, choice.slot, presumed, now);
-  note_placed(need.blocks, known.info.id);
+  prefixes_.learn(need.blocks, choice.slot, sent_confidence, now);
+  note_sent_prefix(need.blocks, known.info.id);
   note_use_changed(choice.slot, true);
   return attempt;
 }
@@ -283,7 +284,7 @@
     if (!missed)
       known.event_trust += trust_gain * (1.0 - known.event_trust);
   }
-  prefixes_.learn(need.blocks, attempt.slot, proved, now);
+  prefixes_.learn(need.blocks, attempt.slot, reported_confidence, now);
 }
 
 void endpoint_table::end(const route_attempt& attempt, const route_need& need,
@@ -348,7 +349,7 @@
 
 double endpoint_table::service_ms(const pool_id& pool) const {
   const auto found = service_ms_.find(pool);
-  return found == service_ms_.end() ? choice_.usual_service_ms : found->second;
+  return found == service_ms_.end() ? choice_.default_service_ms : found->second;
 }
 
 endpoint_table::pool_load endpoint_table::load_of(const pool_id& pool) const {
--- a/src/routing/impl/endpoint_table.hpp
+++ b/src/routing/impl/endpoint_table.hpp
@@ -13,24 +13,25 @@
 
 /// \brief Parameters of endpoint choice, load estimates and use reports.
 struct choice_policy {
-  std::uint32_t draws{2};      ///< random candidates in this data centre
-  std::uint32_t long_draws{4}; ///< random candidates in this data centre for long prompts
+  std::uint32_t random_candidates{2}; ///< random candidates in this data centre
+  std::uint32_t long_prompt_candidates{
+      4}; ///< random candidates in this data centre for long prompts
   std::uint32_t long_prompt_tokens{4096};
-  std::uint32_t far_draws{1};            ///< random candidates in other data centres
-  std::uint32_t compare_all_up_to{6};    ///< group size up to which all are candidates
-  std::uint32_t look_for_room_up_to{32}; ///< the same with `route_need::only_with_room`
-  double default_distance_ms{2.0};       ///< one-way latency to a data centre if unknown
-  double crowding_ms{60.0};              ///< score penalty of a full endpoint against an idle one
-  double usual_prompt_rate{8000.0};      ///< prompt tokens per second, until reported
-  double chunk_tokens{512.0};            ///< prefill chunk of engines; a chunk is not interrupted
-  double usual_service_ms{4000.0};       ///< duration of a request, until learned
-  double usual_cache_life_ms{120000.0};  ///< until learned
-  std::uint32_t most_tokens_per_block{512};
-  std::size_t most_places_told{256};
-  time_ms use_life{2500};        ///< age at which another host's use report expires
-  time_ms use_whole_every{1000}; ///< interval of full reports, which repair lost partial ones
-  time_ms use_ends_every{100};   ///< longest delay before an end is reported
-  time_ms told_staleness{40};    ///< assumed age of use that other hosts report as it changes
+  std::uint32_t remote_candidates{1};     ///< random candidates in other data centres
+  std::uint32_t compare_all_up_to{6};     ///< group size up to which all are candidates
+  std::uint32_t look_for_room_up_to{32};  ///< the same with `route_need::only_with_room`
+  double default_distance_ms{2.0};        ///< one-way latency to a data centre if unknown
+  double crowding_ms{60.0};               ///< score penalty of a full endpoint against an idle one
+  double default_prompt_rate{8000.0};     ///< prompt tokens per second, until reported
+  double chunk_tokens{512.0};             ///< prefill chunk of engines; a chunk is not interrupted
+  double default_service_ms{4000.0};      ///< duration of a request, until learned
+  double default_cache_life_ms{120000.0}; ///< until learned
+  std::uint32_t max_tokens_per_block{512};
+  std::size_t max_reported_prefixes{256};
+  time_ms use_lifetime{2500};         ///< age at which another host's use report expires
+  time_ms full_use_interval{1000};    ///< interval of full reports, which repair lost partial ones
+  time_ms use_end_interval{100};      ///< longest delay before an end is reported
+  time_ms reported_use_staleness{40}; ///< assumed age of use that other hosts report as it changes
 };
 
 /// \returns the urgency with which the prompt is prefilled. A long prompt counts as one class less
@@ -123,8 +124,8 @@
   /// has sent since the last report
   [[nodiscard]] use_report own_use(const incarnation& self);
   /// \returns the report to send to the other hosts now, if one is due: starts are reported by the
-  /// next call, ends with them or within `use_ends_every`, everything once a second. Call it about
-  /// every 20 ms.
+  /// next call, ends with them or within `use_end_interval`, everything once a second. Call it
+  /// about every 20 ms.
   [[nodiscard]] std::optional<use_report> due_use(const incarnation& self, time_ms now);
   /// \brief Applies another host's report.
   void apply_use(const use_report& report, time_ms now);
@@ -178,20 +179,20 @@
     bool reachable{true};
   };
 
-  struct heard_use {
+  struct received_use {
     std::uint64_t sequence{};
     time_ms at;
     absl::flat_hash_map<std::uint32_t, endpoint_use> uses; ///< by slot
   };
 
   void note_use_changed(std::uint32_t slot, bool started);
-  void note_placed(std::span<const std::uint64_t> blocks, const endpoint_id& endpoint);
-  void take_back_use(const heard_use& heard);
-  void update_view();
+  void note_sent_prefix(std::span<const std::uint64_t> blocks, const endpoint_id& endpoint);
+  void subtract_use(const received_use& received);
+  void update_load_source();
   [[nodiscard]] record* find(const endpoint_id& id);
   [[nodiscard]] record* record_of(const route_attempt& attempt);
   void refresh(std::uint32_t slot);
-  void take_from_indexes(record& known, std::uint32_t slot);
+  void remove_from_indexes(record& known, std::uint32_t slot);
   void learn_cache(record& known, const route_attempt& attempt, const route_need& need,
                    std::uint32_t cached, time_ms now);
 
@@ -207,15 +208,15 @@
   double home_trust_{0.1};
   std::uint64_t lives_{};
   std::uint64_t use_sequence_{};
-  std::vector<prefix_place> placed_;       ///< not reported to the other hosts yet
-  std::vector<std::uint32_t> use_changed_; ///< slots whose use is not reported yet
-  bool use_started_{};                     ///< at least one of the changes is a start
-  time_ms use_told_;
-  time_ms use_whole_told_;
-  absl::flat_hash_map<incarnation, heard_use> heard_;
+  std::vector<prefix_place> sent_prefixes_; ///< not reported to the other hosts yet
+  std::vector<std::uint32_t> use_changed_;  ///< slots whose use is not reported yet
+  bool use_started_{};                      ///< at least one of the changes is a start
+  time_ms last_use_report_;
+  time_ms last_full_use_report_;
+  absl::flat_hash_map<incarnation, received_use> received_;
   std::vector<incarnation> senders_;
   bool senders_known_{};
-  bool all_heard_{};
+  bool all_reported_{};
 };
 
 /// \returns the capability for `endpoint_index`
--- a/src/routing/impl/engine_order.cpp
+++ b/src/routing/impl/engine_order.cpp
@@ -15,10 +15,10 @@
 }
 
 std::vector<item_goal> goals_by_demand(std::span<const item_demand> demand, std::uint32_t engines,
-                                       std::uint32_t places, std::uint32_t least_replicas) {
+                                       std::uint32_t places, std::uint32_t min_replicas) {
   std::vector<item_goal> goals;
   double all = 0.0;
-  const std::uint32_t floor = std::min(least_replicas, engines);
+  const std::uint32_t floor = std::min(min_replicas, engines);
   for (const item_demand& d : demand) {
     goals.push_back({d.item, floor});
     all += d.wanted;
--- a/src/routing/impl/engine_order.hpp
+++ b/src/routing/impl/engine_order.hpp
@@ -96,11 +96,11 @@
   double wanted{};
 };
 
-/// \returns replicas for each item: `least_replicas` each, the remaining places by demand
+/// \returns replicas for each item: `min_replicas` each, the remaining places by demand
 /// \param places  number of items that all usable engines together can hold
 [[nodiscard]] std::vector<item_goal> goals_by_demand(std::span<const item_demand> demand,
                                                      std::uint32_t engines, std::uint32_t places,
-                                                     std::uint32_t least_replicas);
+                                                     std::uint32_t min_replicas);
 
 /// \returns number of engines, out of `engines`, for prefill; at least one for each role, or 0 if
 /// the roles cannot be separated \param read, written  prompt and output tokens demanded per second
--- a/src/routing/impl/fair_queue.cpp
+++ b/src/routing/impl/fair_queue.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr double ms_per_s = 1000.0;
-constexpr double least_weight = 1e-6;
-constexpr double least_cost = 1.0;
+constexpr double min_weight = 1e-6;
+constexpr double min_cost = 1.0;
 constexpr double rate_gain = 0.3;
 constexpr time_ms rate_window{500};
-constexpr std::size_t void_entries_kept = 64;
+constexpr std::size_t stale_entries_kept = 64;
 
 constexpr auto later_deadline = [](const auto& a, const auto& b) {
   return a.deadline != b.deadline ? a.deadline > b.deadline : a.sequence > b.sequence;
@@ -57,7 +57,7 @@
 }
 
 void fair_queue::change_weight(team_state& team, double weight) noexcept {
-  weight = std::max(weight, least_weight);
+  weight = std::max(weight, min_weight);
   if (team.queued > 0)
     queued_weight_ += weight - team.weight;
   team.weight = weight;
@@ -69,7 +69,7 @@
   state.limits = limits;
   change_weight(state, limits.weight);
   apply_rates(state, now);
-  offer(slot);
+  update_ready(slot);
 }
 
 void fair_queue::set_share(const team_id& team, double weight, double fraction, time_ms now,
@@ -80,13 +80,13 @@
   state.limits.fraction = std::clamp(fraction, 0.0, 1.0);
   state.excess = excess;
   apply_rates(state, now);
-  offer(slot);
+  update_ready(slot);
 }
 
 admission fair_queue::enqueue(const team_id& team, const queued_work& work, time_ms now) {
   const std::uint32_t slot = slot_of(team);
   queued_work checked = work;
-  checked.cost = std::max(work.cost, least_cost);
+  checked.cost = std::max(work.cost, min_cost);
   team_state& state = teams_[slot];
   state.arrived_cost += checked.cost;
   const admission answer = check(state, checked, now);
@@ -114,7 +114,7 @@
   class_queue& queue = team.classes[static_cast<std::size_t>(work.kind)];
   if (queue.waiting == 0) {
     queue.waiting_since = now;
-    queue.owed = 0.0;
+    queue.deficit = 0.0;
   }
   const entry place{work.deadline, sequence_, index};
   push(queue.heap, place);
@@ -129,10 +129,10 @@
   team.queued_cost += work.cost;
   ++queued_;
   queued_cost_ += work.cost;
-  offer(slot);
+  update_ready(slot);
 }
 
-void fair_queue::take_out(std::uint32_t index) {
+void fair_queue::remove_item(std::uint32_t index) {
   item& taken = items_[index];
   team_state& team = teams_[taken.team];
   class_queue& queue = team.classes[static_cast<std::size_t>(taken.work.kind)];
@@ -156,15 +156,15 @@
   taken.sequence = 0;
   free_items_.push_back(index);
   compact_deadlines();
-  offer(taken.team);
+  update_ready(taken.team);
 }
 
-void fair_queue::offer(std::uint32_t slot) {
+void fair_queue::update_ready(std::uint32_t slot) {
   const team_state& team = teams_[slot];
   const team_limits& limits = team.limits;
   const bool at_limit =
       limits.max_running > 0 &&
-      static_cast<double>(team.running) >= queue_part(limits.max_running, limits.fraction);
+      static_cast<double>(team.running) >= host_limit(limits.max_running, limits.fraction);
   const bool beyond = team.excess > 0.0;
   bool has_work = false;
   for (std::size_t c = 0; c < work_class_count; ++c) {
@@ -190,7 +190,7 @@
   return !filter.beyond_share || beyond.empty() ? std::nullopt : std::optional{beyond.top()};
 }
 
-void fair_queue::drop_void(std::vector<entry>& heap) const {
+void fair_queue::pop_stale(std::vector<entry>& heap) const {
   while (!heap.empty() && items_[heap.front().item].sequence != heap.front().sequence)
     pop(heap);
 }
@@ -203,13 +203,13 @@
     class_queue& queue = team.classes[c];
     if (queue.waiting == 0)
       continue;
-    drop_void(queue.heap);
+    pop_stale(queue.heap);
     if (first == work_class_count) {
       first = c;
       continue;
     }
-    const bool aged = now - queue.waiting_since > policy_.patience[c];
-    if (aged && queue.owed >= items_[queue.heap.front().item].work.cost)
+    const bool aged = now - queue.waiting_since > policy_.aging_delay[c];
+    if (aged && queue.deficit >= items_[queue.heap.front().item].work.cost)
       return c;
   }
   return first;
@@ -231,13 +231,13 @@
   return next ? std::optional{next->ticket} : std::nullopt;
 }
 
-void fair_queue::pay_owed(team_state& team, std::size_t served, double cost) const noexcept {
+void fair_queue::update_deficits(team_state& team, std::size_t served, double cost) const noexcept {
   for (std::size_t c = 0; c < work_class_count; ++c) {
     class_queue& queue = team.classes[c];
     if (c == served)
-      queue.owed = std::max(0.0, queue.owed - cost);
+      queue.deficit = std::max(0.0, queue.deficit - cost);
     else if (queue.waiting > 0)
-      queue.owed += cost * policy_.aged_share / (1.0 - policy_.aged_share);
+      queue.deficit += cost * policy_.aged_share / (1.0 - policy_.aged_share);
   }
 }
 
@@ -263,8 +263,8 @@
   ++team.running;
   ++running_;
   running_cost_ += grant.cost;
-  pay_owed(team, kind, grant.cost);
-  take_out(index);
+  update_deficits(team, kind, grant.cost);
+  remove_item(index);
   note_service(grant.cost, now);
   return grant;
 }
@@ -291,13 +291,13 @@
 
 void fair_queue::adjust(work_grant& grant, double cost, time_ms now) {
   team_state& team = teams_[grant.team_slot];
-  const double change = std::max(cost, least_cost) - grant.cost;
+  const double change = std::max(cost, min_cost) - grant.cost;
   grant.cost += change;
   team.finish += change / team.weight;
   team.started_cost += change;
   running_cost_ += change;
   team.cost_rate.take(change, now);
-  offer(grant.team_slot);
+  update_ready(grant.team_slot);
 }
 
 void fair_queue::settle(const work_grant& grant, double cost, time_ms now) {
@@ -307,7 +307,7 @@
   --team.running;
   --running_;
   running_cost_ = running_ == 0 ? 0.0 : running_cost_ - last.cost;
-  offer(grant.team_slot);
+  update_ready(grant.team_slot);
 }
 
 void fair_queue::put_back(const work_grant& grant, time_ms deadline, time_ms now) {
@@ -325,14 +325,14 @@
   const auto found = tickets_.find(ticket);
   if (found == tickets_.end())
     return false;
-  take_out(found->second);
+  remove_item(found->second);
   return true;
 }
 
 // The entry of a started or cancelled request stays in the deadline heap until it reaches the top.
 // Without compaction, one distant deadline would retain the entries of all later ones for minutes.
 void fair_queue::compact_deadlines() {
-  if (deadlines_.size() <= 2 * queued_ + void_entries_kept)
+  if (deadlines_.size() <= 2 * queued_ + stale_entries_kept)
     return;
   std::erase_if(deadlines_,
                 [this](const entry& e) { return items_[e.item].sequence != e.sequence; });
@@ -341,12 +341,12 @@
 
 std::vector<std::uint64_t> fair_queue::expire(time_ms now) {
   std::vector<std::uint64_t> late;
-  for (drop_void(deadlines_); !deadlines_.empty() && deadlines_.front().deadline < now;
-       drop_void(deadlines_)) {
+  for (pop_stale(deadlines_); !deadlines_.empty() && deadlines_.front().deadline < now;
+       pop_stale(deadlines_)) {
     const std::uint32_t index = deadlines_.front().item;
     late.push_back(items_[index].work.ticket);
     pop(deadlines_);
-    take_out(index);
+    remove_item(index);
   }
   return late;
 }
--- a/src/routing/impl/fair_queue.hpp
+++ b/src/routing/impl/fair_queue.hpp
@@ -17,10 +17,10 @@
 struct queue_policy {
   /// A class that has waited this long gets at least `aged_share` of the team's service, even if
   /// more urgent work waits.
-  std::array<time_ms, work_class_count> patience{time_ms{0}, time_ms{3000}, time_ms{10000}};
+  std::array<time_ms, work_class_count> aging_delay{time_ms{0}, time_ms{3000}, time_ms{10000}};
   double aged_share{0.25};
-  time_ms least_retry_after{1000};
-  time_ms most_retry_after{60000};
+  time_ms min_retry_after{1000};
+  time_ms max_retry_after{60000};
 };
 
 /// \brief Queue of this host's requests for one endpoint pool. Between teams it applies start-time
@@ -131,9 +131,9 @@
     std::vector<entry> heap; ///< earliest deadline first
     std::size_t waiting{};
     double waiting_cost{};
-    time_ms waiting_since; ///< when the class last became non-empty
-    double owed{};         ///< deficit in tokens from service to other classes of the team
-    double usual_output{}; ///< moving average; 0 if unknown
+    time_ms waiting_since;   ///< when the class last became non-empty
+    double deficit{};        ///< deficit in tokens from service to other classes of the team
+    double average_output{}; ///< moving average; 0 if unknown
   };
 
   struct team_state {
@@ -159,14 +159,14 @@
   [[nodiscard]] admission check(const team_state& team, const queued_work& work, time_ms now) const;
   [[nodiscard]] time_ms wait_of(const team_state& team, work_class kind) const noexcept;
   void insert(std::uint32_t slot, const queued_work& work, time_ms arrived, time_ms now);
-  void take_out(std::uint32_t index);
-  void offer(std::uint32_t slot);
+  void remove_item(std::uint32_t index);
+  void update_ready(std::uint32_t slot);
   [[nodiscard]] std::optional<std::uint32_t> next_team(const queue_filter& filter) const;
   void change_weight(team_state& team, double weight) noexcept;
-  void drop_void(std::vector<entry>& heap) const;
+  void pop_stale(std::vector<entry>& heap) const;
   void compact_deadlines();
   [[nodiscard]] std::size_t next_class(team_state& team, work_class last, time_ms now);
-  void pay_owed(team_state& team, std::size_t served, double cost) const noexcept;
+  void update_deficits(team_state& team, std::size_t served, double cost) const noexcept;
   void note_service(double cost, time_ms now) noexcept;
 
   queue_policy policy_;
@@ -194,6 +194,6 @@
 };
 
 /// \returns this host's part of a fleet-wide limit, at least 1
-[[nodiscard]] double queue_part(double limit, double fraction) noexcept;
+[[nodiscard]] double host_limit(double limit, double fraction) noexcept;
 
 } // namespace sedgechute
--- a/src/routing/impl/fair_queue_admission.cpp
+++ b/src/routing/impl/fair_queue_admission.cpp
@@ -13,14 +13,14 @@
 
 // Each host's part is at least one; otherwise a team whose requests are spread over many hosts
 // could send nothing.
-double queue_part(double limit, double fraction) noexcept {
+double host_limit(double limit, double fraction) noexcept {
   return std::max(1.0, limit * fraction);
 }
 
 admission fair_queue::refuse(error_kind kind, time_ms retry_after) const noexcept {
   admission answer;
   answer.refusal = kind;
-  answer.retry_after = std::clamp(retry_after, policy_.least_retry_after, policy_.most_retry_after);
+  answer.retry_after = std::clamp(retry_after, policy_.min_retry_after, policy_.max_retry_after);
   return answer;
 }
 
@@ -49,15 +49,15 @@
 
   const time_ms wait = wait_of(team, work.kind);
   const bool too_many = limits.max_queued > 0 && static_cast<double>(team.queued) >=
-                                                     queue_part(limits.max_queued, limits.fraction);
+                                                     host_limit(limits.max_queued, limits.fraction);
   const bool too_much =
       limits.max_queued_cost > 0 && team.queued > 0 &&
       team.queued_cost + work.cost >
-          queue_part(static_cast<double>(limits.max_queued_cost), limits.fraction);
+          host_limit(static_cast<double>(limits.max_queued_cost), limits.fraction);
   if (too_many || too_much) {
     const bool at_concurrency =
         limits.max_running > 0 &&
-        static_cast<double>(team.running) >= queue_part(limits.max_running, limits.fraction);
+        static_cast<double>(team.running) >= host_limit(limits.max_running, limits.fraction);
     return refuse(at_concurrency ? error_kind::concurrency_limited : error_kind::queue_full, wait);
   }
   if (now + wait > work.deadline)
@@ -77,15 +77,15 @@
 double fair_queue::expected_output(const team_id& team, work_class kind, double bound) const {
   const team_state* const state = find(team);
   const double usual =
-      state == nullptr ? 0.0 : state->classes[static_cast<std::size_t>(kind)].usual_output;
+      state == nullptr ? 0.0 : state->classes[static_cast<std::size_t>(kind)].average_output;
   return usual <= 0.0 ? bound : std::min(usual, bound);
 }
 
 void fair_queue::learn_output(const team_id& team, work_class kind, double output) {
   class_queue& queue = teams_[slot_of(team)].classes[static_cast<std::size_t>(kind)];
-  queue.usual_output = queue.usual_output <= 0.0
-                           ? output
-                           : queue.usual_output + output_gain * (output - queue.usual_output);
+  queue.average_output = queue.average_output <= 0.0
+                             ? output
+                             : queue.average_output + output_gain * (output - queue.average_output);
 }
 
 queue_figures fair_queue::figures() const noexcept {
--- a/src/routing/impl/load_estimate.cpp
+++ b/src/routing/impl/load_estimate.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t most_changes = 512;
+constexpr std::size_t max_changes = 512;
 constexpr double prompt_gain = 0.1;
 constexpr double unlimited_room = 1e6;
 
@@ -15,10 +15,10 @@
 void load_estimate::record(change latest) {
   // Bounds the memory for an endpoint that no longer reports. The oldest half is dropped, as if a
   // report had included it.
-  if (changes_.size() >= most_changes)
-    changes_.erase(changes_.begin(), changes_.begin() + most_changes / 2);
+  if (changes_.size() >= max_changes)
+    changes_.erase(changes_.begin(), changes_.begin() + max_changes / 2);
   changes_.push_back(latest);
-  since_running_ += latest.delta;
+  running_change_ += latest.delta;
 }
 
 void load_estimate::apply(const load_report& report, time_ms now) {
@@ -29,15 +29,15 @@
   reported_ = true;
   taken_at_ = taken_at;
   std::erase_if(changes_, [taken_at](const change& c) { return c.at <= taken_at; });
-  since_running_ = 0.0;
+  running_change_ = 0.0;
   for (const change& c : changes_)
-    since_running_ += c.delta;
+    running_change_ += c.delta;
 }
 
 void load_estimate::started(std::size_t urgency, std::uint32_t prompt_tokens, time_ms now) {
   ++own_running_;
   own_unread_[urgency] += prompt_tokens;
-  usual_prompt_ += prompt_gain * (prompt_tokens - usual_prompt_);
+  average_prompt_tokens_ += prompt_gain * (prompt_tokens - average_prompt_tokens_);
   record({now, 1});
 }
 
@@ -61,19 +61,19 @@
     others_unread_[c] = std::max(0.0, others_unread_[c] + sign * unread[c]);
 }
 
-void load_estimate::set_view(bool all_heard, time_ms staleness) noexcept {
-  all_heard_ = all_heard;
-  told_staleness_ = staleness;
+void load_estimate::set_load_source(bool all_reported, time_ms staleness) noexcept {
+  all_reported_ = all_reported;
+  reported_use_staleness_ = staleness;
 }
 
 // The other hosts' use reports are newer than the endpoint's load report, but complete only if all
 // hosts have sent one.
 double load_estimate::at_endpoint() const noexcept {
   const double told = own_running_ + others_running_;
-  if (all_heard_)
+  if (all_reported_)
     return told;
   const double reported = static_cast<double>(report_.running) + report_.waiting;
-  return std::max(static_cast<double>(own_running_), reported + since_running_);
+  return std::max(static_cast<double>(own_running_), reported + running_change_);
 }
 
 // Without use reports from all hosts, the requests that waited at the last load report are counted
@@ -85,13 +85,13 @@
     own += own_unread_[c];
     others += others_unread_[c];
   }
-  if (all_heard_)
+  if (all_reported_)
     return own + others;
-  return std::max(own, report_.waiting * usual_prompt_);
+  return std::max(own, report_.waiting * average_prompt_tokens_);
 }
 
 time_ms load_estimate::staleness(time_ms now) const noexcept {
-  return all_heard_ ? told_staleness_ : now - taken_at_;
+  return all_reported_ ? reported_use_staleness_ : now - taken_at_;
 }
 
 double load_estimate::room() const noexcept {
--- a/src/routing/impl/load_estimate.hpp
+++ b/src/routing/impl/load_estimate.hpp
@@ -28,9 +28,9 @@
   void change_others(double running, const unread_by_urgency& unread, double sign) noexcept;
 
   /// \brief Selects the source of the estimate.
-  /// \param all_heard  every host that sends to this endpoint has reported its use lately
+  /// \param all_reported  every host that sends to this endpoint has reported its use lately
   /// \param staleness  assumed age of their reports
-  void set_view(bool all_heard, time_ms staleness) noexcept;
+  void set_load_source(bool all_reported, time_ms staleness) noexcept;
 
   /// \returns estimated requests at the endpoint, running or waiting
   [[nodiscard]] double at_endpoint() const noexcept;
@@ -63,10 +63,10 @@
   unread_by_urgency own_unread_{};
   double others_running_{};
   unread_by_urgency others_unread_{};
-  bool all_heard_{};
-  time_ms told_staleness_;
-  double since_running_{};
-  double usual_prompt_{};
+  bool all_reported_{};
+  time_ms reported_use_staleness_;
+  double running_change_{};
+  double average_prompt_tokens_{};
   std::vector<change> changes_;
 };
 
--- a/src/routing/impl/order_planner.cpp
+++ b/src/routing/impl/order_planner.cpp
@@ -78,8 +78,8 @@
     return;
   epoch_ = epoch;
   next_order_ = 0;
-  introduced_.clear();
-  introductions_.clear();
+  announced_.clear();
+  unanswered_announcements_.clear();
   // Orders of a former epoch are not resent: an engine would refuse their fencing number or, if it
   // does not check it, execute an outdated order.
   for (order_record& record : records_)
@@ -136,8 +136,8 @@
       engine->held.push_back(record.order.item);
     if (record.order.action == order_action::unload)
       std::erase(engine->held, record.order.item);
-    const time_ms patience = record.answered ? policy_.shown_within : policy_.repeat_after;
-    if (now - record.last_sent >= patience) {
+    const time_ms timeout = record.answered ? policy_.report_timeout : policy_.repeat_after;
+    if (now - record.last_sent >= timeout) {
       record.last_sent = now;
       due_.push_back(record.order);
     }
@@ -147,7 +147,7 @@
 
 // A higher goal applies at once. A lower one applies only after it has persisted, so that a short
 // drop in demand does not unload models that have to be fetched again.
-void order_planner::settle_goals(const pool_goal& goal, time_ms now) {
+void order_planner::update_goals(const pool_goal& goal, time_ms now) {
   for (const item_goal& g : goal.items) {
     item_state& state = items_[g.item];
     if (g.replicas >= state.wanted) {
@@ -158,7 +158,7 @@
       state.lower = g.replicas;
       state.lower_since = now;
     }
-    if (now - state.lower_since >= policy_.settle)
+    if (now - state.lower_since >= policy_.lower_goal_delay)
       state.wanted = state.lower;
   }
   std::erase_if(items_, [&](const auto& known) { return !listed(goal, known.first); });
@@ -173,7 +173,7 @@
   });
 }
 
-void order_planner::give(engine_state& engine, engine_order order, time_ms now) {
+void order_planner::issue(engine_state& engine, engine_order order, time_ms now) {
   order.id = epoch_ * orders_per_epoch + ++next_order_;
   order.fencing = epoch_;
   order.endpoint = engine.view->endpoint;
@@ -215,18 +215,19 @@
       if (!held.adapter.empty() || have <= wanted ||
           !may_order(engine.view->endpoint, order_action::unload, held, now))
         continue;
-      give(engine,
-           order_for(order_action::unload, held,
-                     to_string(held) + " has " + ratio(have, wanted) + " wanted replicas and " +
-                         to_string(item) + " needs the room"),
-           now);
+      issue(engine,
+            order_for(order_action::unload, held,
+                      to_string(held) + " has " + ratio(have, wanted) + " wanted replicas and " +
+                          to_string(item) + " needs the room"),
+            now);
       return;
     }
   }
   withheld_.push_back("load of " + to_string(item) + ": no engine has room and nothing is surplus");
 }
 
-void order_planner::fill(const pool_goal& goal, std::vector<engine_state>& engines, time_ms now) {
+void order_planner::plan_loads(const pool_goal& goal, std::vector<engine_state>& engines,
+                               time_ms now) {
   struct shortfall {
     const item_goal* goal;
     std::uint32_t have;
@@ -245,11 +246,11 @@
 
   for (const shortfall& missing : short_of) {
     const loadable& item = missing.goal->item;
-    if (open_orders() >= policy_.most_open) {
+    if (open_orders() >= policy_.max_open) {
       withheld_.push_back("load of " + to_string(item) + ": enough orders are under way");
       return;
     }
-    if (now < store_closed_until_ || store_.wait_for(1.0, now) > time_ms{0}) {
+    if (now < store_backoff_until_ || store_.wait_for(1.0, now) > time_ms{0}) {
       withheld_.push_back("load of " + to_string(item) + ": waits for the weight store");
       return;
     }
@@ -272,13 +273,13 @@
       continue;
     }
     store_.take(1.0, now);
-    give(*best,
-         order_for(order_action::load, item,
-                   to_string(item) + " has " + ratio(missing.have, missing.wanted) +
-                       " wanted replicas; " + best->view->data_centre.str() + " has " +
-                       std::to_string(holders_in(engines, item, best->view->data_centre)) +
-                       ", and the engine is the least loaded with room"),
-         now);
+    issue(*best,
+          order_for(order_action::load, item,
+                    to_string(item) + " has " + ratio(missing.have, missing.wanted) +
+                        " wanted replicas; " + best->view->data_centre.str() + " has " +
+                        std::to_string(holders_in(engines, item, best->view->data_centre)) +
+                        ", and the engine is the least loaded with room"),
+          now);
   }
 }
 
@@ -306,10 +307,10 @@
 
 // Unloads items that the settings no longer list. Surplus replicas of a listed item stay until room
 // is needed.
-void order_planner::drop_surplus(const pool_goal& goal, std::vector<engine_state>& engines,
-                                 time_ms now) {
+void order_planner::unload_unlisted(const pool_goal& goal, std::vector<engine_state>& engines,
+                                    time_ms now) {
   for (engine_state& engine : engines) {
-    if (engine.busy || open_orders() >= policy_.most_open)
+    if (engine.busy || open_orders() >= policy_.max_open)
       continue;
     for (const loadable& held : engine.view->held) {
       if (listed(goal, held) || awaits_other_version(goal, engines, engine, held) ||
@@ -321,8 +322,9 @@
             ": the engine ignores fencing numbers, and a late unload would do harm");
         continue;
       }
-      give(engine,
-           order_for(order_action::unload, held, to_string(held) + " is not in the settings"), now);
+      issue(engine,
+            order_for(order_action::unload, held, to_string(held) + " is not in the settings"),
+            now);
       break;
     }
   }
@@ -330,7 +332,7 @@
 
 void order_planner::set_roles(const pool_goal& goal, std::vector<engine_state>& engines,
                               time_ms now) {
-  if (goal.prefill_engines == 0 || open_orders() >= policy_.most_open)
+  if (goal.prefill_engines == 0 || open_orders() >= policy_.max_open)
     return;
   const auto count = [&](endpoint_role role) {
     return std::ranges::count_if(
@@ -359,10 +361,10 @@
       best = &engine;
   if (best == nullptr)
     return;
-  give(*best,
-       role_order(wanted, ratio(have, goal.prefill_engines) +
-                              " wanted engines read prompts; this one is the least loaded"),
-       now);
+  issue(*best,
+        role_order(wanted, ratio(have, goal.prefill_engines) +
+                               " wanted engines read prompts; this one is the least loaded"),
+        now);
 }
 
 std::vector<engine_order> order_planner::plan(const pool_goal& goal,
@@ -373,9 +375,9 @@
     return {};
   close_finished(goal, engines, now);
   std::vector<engine_state> states = states_of(engines, now);
-  settle_goals(goal, now);
-  fill(goal, states, now);
-  drop_surplus(goal, states, now);
+  update_goals(goal, now);
+  plan_loads(goal, states, now);
+  unload_unlisted(goal, states, now);
   set_roles(goal, states, now);
   return std::exchange(due_, {});
 }
@@ -383,15 +385,15 @@
 // The former decider may be paused while it sends an order. An engine that does not know this epoch
 // would execute that order whenever it arrives; one that knows it refuses. The announcing order
 // requests the role that the engine already has.
-std::vector<engine_order> order_planner::introductions(std::span<const engine_view> engines,
-                                                       time_ms now) {
+std::vector<engine_order> order_planner::epoch_announcements(std::span<const engine_view> engines,
+                                                             time_ms now) {
   std::vector<engine_order> orders;
   if (epoch_ == 0)
     return orders;
   for (const engine_view& engine : engines) {
-    introduction& told = introduced_[engine.endpoint];
+    announcement& told = announced_[engine.endpoint];
     const bool asked = told.order != 0 && now - told.sent < policy_.repeat_after;
-    if (!engine.usable || told.heard || asked)
+    if (!engine.usable || told.confirmed || asked)
       continue;
     engine_order order = role_order(engine.role, "tells it the number of the new decider");
     order.id = epoch_ * orders_per_epoch + ++next_order_;
@@ -399,7 +401,7 @@
     order.endpoint = engine.endpoint;
     told.order = order.id;
     told.sent = now;
-    introductions_[order.id] = engine.endpoint;
+    unanswered_announcements_[order.id] = engine.endpoint;
     orders.push_back(std::move(order));
   }
   return orders;
@@ -407,9 +409,10 @@
 
 void order_planner::note_answer(std::uint64_t order, order_answer answer, time_ms retry_after,
                                 time_ms now) {
-  if (const auto introduced = introductions_.find(order); introduced != introductions_.end()) {
-    introduced_[introduced->second].heard = answer == order_answer::done;
-    introductions_.erase(introduced);
+  if (const auto introduced = unanswered_announcements_.find(order);
+      introduced != unanswered_announcements_.end()) {
+    announced_[introduced->second].confirmed = answer == order_answer::done;
+    unanswered_announcements_.erase(introduced);
     if (answer == order_answer::newer_epoch)
       set_epoch(0);
     return;
@@ -431,7 +434,7 @@
   case order_answer::rate_limited:
     // The order did not reach the engine, so this is no failure of the engine.
     record->state = order_state::abandoned;
-    store_closed_until_ = std::max(store_closed_until_, now + retry_after);
+    store_backoff_until_ = std::max(store_backoff_until_, now + retry_after);
     break;
   case order_answer::newer_epoch:
     record->state = order_state::fenced;
--- a/src/routing/impl/order_planner.hpp
+++ b/src/routing/impl/order_planner.hpp
@@ -14,11 +14,12 @@
   std::uint32_t models_per_engine{2};
   double loads_per_s{0.2}; ///< rate at which this pool may fetch from the weight store
   double load_burst{2.0};
-  std::uint32_t most_open{4};  ///< orders in flight at once
-  time_ms repeat_after{5000};  ///< delay until an unanswered order is resent
-  time_ms shown_within{30000}; ///< an order answered `done` is resent if no report shows it by then
-  time_ms retry_after{30000};  ///< backoff after a failed order
-  time_ms settle{20000};       ///< time that a lower goal must persist before it applies
+  std::uint32_t max_open{4};  ///< orders in flight at once
+  time_ms repeat_after{5000}; ///< delay until an unanswered order is resent
+  time_ms report_timeout{
+      30000};                 ///< an order answered `done` is resent if no report shows it by then
+  time_ms retry_after{30000}; ///< backoff after a failed order
+  time_ms lower_goal_delay{20000}; ///< time that a lower goal must persist before it applies
   std::size_t records_kept{256};
 };
 
@@ -57,8 +58,8 @@
 
   /// \returns orders that change nothing and announce this epoch to engines that have not confirmed
   /// it; for pools whose engines check fencing numbers. Send them before those of `plan`.
-  [[nodiscard]] std::vector<engine_order> introductions(std::span<const engine_view> engines,
-                                                        time_ms now);
+  [[nodiscard]] std::vector<engine_order> epoch_announcements(std::span<const engine_view> engines,
+                                                              time_ms now);
 
   /// \brief Applies an engine's answer.
   /// \param retry_after  delay requested by the weight store
@@ -84,27 +85,27 @@
     time_ms lower_since;
   };
 
-  struct introduction {
+  struct announcement {
     std::uint64_t order{};
     time_ms sent;
-    bool heard{};
+    bool confirmed{};
   };
 
   [[nodiscard]] std::vector<engine_state> states_of(std::span<const engine_view> engines,
                                                     time_ms now);
   void close_finished(const pool_goal& goal, std::span<const engine_view> engines, time_ms now);
-  void settle_goals(const pool_goal& goal, time_ms now);
-  void fill(const pool_goal& goal, std::vector<engine_state>& engines, time_ms now);
+  void update_goals(const pool_goal& goal, time_ms now);
+  void plan_loads(const pool_goal& goal, std::vector<engine_state>& engines, time_ms now);
   void make_room(const pool_goal& goal, std::vector<engine_state>& engines, const loadable& item,
                  time_ms now);
-  void drop_surplus(const pool_goal& goal, std::vector<engine_state>& engines, time_ms now);
+  void unload_unlisted(const pool_goal& goal, std::vector<engine_state>& engines, time_ms now);
   [[nodiscard]] bool awaits_other_version(const pool_goal& goal,
                                           const std::vector<engine_state>& engines,
                                           const engine_state& engine, const loadable& old) const;
   void set_roles(const pool_goal& goal, std::vector<engine_state>& engines, time_ms now);
   [[nodiscard]] bool may_order(const endpoint_id& endpoint, order_action action,
                                const loadable& item, time_ms now) const;
-  void give(engine_state& engine, engine_order order, time_ms now);
+  void issue(engine_state& engine, engine_order order, time_ms now);
   [[nodiscard]] std::size_t open_orders() const;
   [[nodiscard]] std::size_t open_orders(order_action action) const;
 
@@ -112,10 +113,10 @@
   std::uint64_t epoch_{};
   std::uint64_t next_order_{};
   token_bucket store_;
-  time_ms store_closed_until_;
+  time_ms store_backoff_until_;
   std::map<loadable, item_state> items_;
-  std::map<endpoint_id, introduction> introduced_;
-  std::map<std::uint64_t, endpoint_id> introductions_; ///< unanswered
+  std::map<endpoint_id, announcement> announced_;
+  std::map<std::uint64_t, endpoint_id> unanswered_announcements_; ///< unanswered
   std::deque<order_record> records_;
   std::vector<engine_order> due_;
   std::vector<std::string> withheld_;
--- a/src/routing/impl/prefix_table.cpp
+++ b/src/routing/impl/prefix_table.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t most_lookups = 40;
+constexpr std::size_t max_lookups = 40;
 
 } // namespace
 
@@ -65,7 +65,7 @@
 void prefix_table::learn(std::span<const std::uint64_t> blocks, std::uint32_t endpoint,
                          double confidence, time_ms now) {
   std::size_t steps = 0;
-  for (std::size_t length = blocks.size(); length > 0 && steps < most_lookups; --length) {
+  for (std::size_t length = blocks.size(); length > 0 && steps < max_lookups; --length) {
     if (!is_recorded(length))
       continue;
     ++steps;
@@ -85,10 +85,10 @@
 }
 
 std::size_t prefix_table::lookup(std::span<const std::uint64_t> blocks, time_ms now,
-                                 std::array<match, most_matches>& found) const {
+                                 std::array<match, max_matches>& found) const {
   std::size_t count = 0;
   std::size_t steps = 0;
-  for (std::size_t length = blocks.size(); length > 0 && steps < most_lookups; --length) {
+  for (std::size_t length = blocks.size(); length > 0 && steps < max_lookups; --length) {
     if (!is_recorded(length))
       continue;
     ++steps;
--- a/src/routing/impl/prefix_table.hpp
+++ b/src/routing/impl/prefix_table.hpp
@@ -20,7 +20,7 @@
     double confidence{};    ///< 0..1, at that time
   };
 
-  static constexpr std::size_t most_matches = 4;
+  static constexpr std::size_t max_matches = 4;
 
   /// \param entries  capacity in prefixes; rounded up to a power of two
   explicit prefix_table(std::size_t entries = 65536);
@@ -34,10 +34,10 @@
 
   void forget_one(std::uint64_t block, std::uint32_t endpoint);
 
-  /// \brief Finds up to `most_matches` endpoints, the longest prefix first.
+  /// \brief Finds up to `max_matches` endpoints, the longest prefix first.
   /// \returns number of matches written to `found`
   std::size_t lookup(std::span<const std::uint64_t> blocks, time_ms now,
-                     std::array<match, most_matches>& found) const;
+                     std::array<match, max_matches>& found) const;
 
   /// \returns whether prefixes of this length, in blocks, are recorded and looked up. Every short
   /// length is, long ones at intervals, so that a long prompt costs a bounded number of look-ups.
--- a/src/routing/impl/quarantine.cpp
+++ b/src/routing/impl/quarantine.cpp
@@ -11,7 +11,7 @@
 constexpr std::int64_t survival_factor = 2;
 constexpr time_ms survival_margin{2000};
 
-bool same_life(const auto& a, const auto& b) {
+bool same_incarnation(const auto& a, const auto& b) {
   return a.endpoint == b.endpoint && a.life == b.life;
 }
 
@@ -21,7 +21,7 @@
 
 bool quarantine_table::completed_lately(content_fingerprint content, time_ms now) const {
   const auto found = completed_.find(content);
-  return found != completed_.end() && now - found->second < policy_.suspicion;
+  return found != completed_.end() && now - found->second < policy_.evidence_lifetime;
 }
 
 void quarantine_table::note_completed(content_fingerprint content, time_ms at) {
@@ -41,16 +41,16 @@
 void quarantine_table::note_end_of(const endpoint_id& endpoint, std::uint64_t life, time_ms at) {
   const death ended{endpoint, life, at};
   const bool known =
-      std::ranges::any_of(deaths_, [&](const death& d) { return same_life(d, ended); });
+      std::ranges::any_of(deaths_, [&](const death& d) { return same_incarnation(d, ended); });
   if (!known)
     deaths_.push_back(ended);
 }
 
 bool quarantine_table::add_run(content_fingerprint content, const ended_run& run) {
-  if (suspects_.size() >= policy_.most_suspects && !suspects_.contains(content))
+  if (suspects_.size() >= policy_.max_suspects && !suspects_.contains(content))
     return false;
   suspect_runs& runs = suspects_[content];
-  if (std::ranges::any_of(runs, [&](const ended_run& r) { return same_life(r, run); }))
+  if (std::ranges::any_of(runs, [&](const ended_run& r) { return same_incarnation(r, run); }))
     return false;
   runs.push_back(run);
   return true;
@@ -68,8 +68,8 @@
       news_.deaths.push_back({run.content, endpoint, life, run.ran_for, time_ms{0}});
   }
   for (const cut_run& run : runs)
-    judge(run.content, now);
-  judge_again(now);
+    evaluate(run.content, now);
+  reevaluate_recent(now);
 }
 
 void quarantine_table::note_survived(content_fingerprint content, time_ms ran_for, bool completed,
@@ -91,33 +91,34 @@
 // An outage of a rack or a data centre ends many endpoints within seconds, and a request that was
 // retried within it ran on two of them. Such an outage is detected by endpoints that died at the
 // same time without running this content; deaths with the content are attributed to the content.
-bool quarantine_table::is_mass(const ended_run& run, const suspect_runs& runs) const {
+bool quarantine_table::is_part_of_outage(const ended_run& run, const suspect_runs& runs) const {
   const auto unexplained = std::ranges::count_if(deaths_, [&](const death& d) {
     const time_ms apart = std::max(d.at, run.at) - std::min(d.at, run.at);
-    if (apart > policy_.mass_window)
+    if (apart > policy_.outage_window)
       return false;
-    return std::ranges::none_of(runs, [&](const ended_run& r) { return same_life(r, d); });
+    return std::ranges::none_of(runs, [&](const ended_run& r) { return same_incarnation(r, d); });
   });
-  return static_cast<std::size_t>(unexplained) + 1 >= policy_.mass_deaths;
+  return static_cast<std::size_t>(unexplained) + 1 >= policy_.outage_deaths;
 }
 
-std::vector<quarantine_table::ended_run> quarantine_table::counted(const suspect_runs& runs) const {
+std::vector<quarantine_table::ended_run>
+quarantine_table::excluding_outages(const suspect_runs& runs) const {
   std::vector<ended_run> ended;
   std::ranges::copy_if(runs, std::back_inserter(ended),
-                       [&](const ended_run& run) { return !is_mass(run, runs); });
+                       [&](const ended_run& run) { return !is_part_of_outage(run, runs); });
   return ended;
 }
 
 // Two contents that ran together on every endpoint that died cannot be distinguished. Both stay
 // suspects and run on separate endpoints from then on, so the next death identifies one of them.
-bool quarantine_table::is_alone(content_fingerprint content,
-                                const std::vector<ended_run>& ended) const {
+bool quarantine_table::is_sole_candidate(content_fingerprint content,
+                                         const std::vector<ended_run>& ended) const {
   return std::ranges::none_of(suspects_, [&](const auto& other) {
     if (other.first == content || other.second.size() < ended.size())
       return false;
     return std::ranges::all_of(ended, [&](const ended_run& run) {
       return std::ranges::any_of(other.second,
-                                 [&](const ended_run& r) { return same_life(r, run); });
+                                 [&](const ended_run& r) { return same_incarnation(r, run); });
     });
   });
 }
@@ -128,36 +129,37 @@
   set.record.content = content;
   ++set.record.version;
   set.record.lifted = lifted;
-  set.record.remaining = policy_.sentence;
+  set.record.remaining = policy_.quarantine_duration;
   set.record.endpoints = std::move(endpoints);
   set.since = now;
-  set.until = now + policy_.sentence;
+  set.until = now + policy_.quarantine_duration;
   news_.records.push_back(set.record);
 }
 
-void quarantine_table::judge(content_fingerprint content, time_ms now) {
+void quarantine_table::evaluate(content_fingerprint content, time_ms now) {
   const auto found = suspects_.find(content);
   if (found == suspects_.end() || standing(content) == content_standing::quarantined)
     return;
-  const std::vector<ended_run> ended = counted(found->second);
-  if (ended.size() < policy_.endpoints_lost || !is_alone(content, ended))
+  const std::vector<ended_run> ended = excluding_outages(found->second);
+  if (ended.size() < policy_.endpoints_lost || !is_sole_candidate(content, ended))
     return;
   std::vector<endpoint_id> endpoints;
   for (const ended_run& run : ended)
     endpoints.push_back(run.endpoint);
   set_verdict(content, false, std::move(endpoints), now);
-  acquit_bystanders(content, ended);
+  clear_bystanders(content, ended);
 }
 
 // The first two deaths of an outage appear to be caused by a request that ran on both. When the
 // other deaths are reported, the verdict is revoked.
-void quarantine_table::judge_again(time_ms now) {
+void quarantine_table::reevaluate_recent(time_ms now) {
   std::vector<content_fingerprint> wrong;
   for (const auto& [content, given] : verdicts_) {
     const auto found = suspects_.find(content);
-    if (given.record.lifted || now - given.since > policy_.mass_window || found == suspects_.end())
+    if (given.record.lifted || now - given.since > policy_.outage_window ||
+        found == suspects_.end())
       continue;
-    if (counted(found->second).size() < policy_.endpoints_lost)
+    if (excluding_outages(found->second).size() < policy_.endpoints_lost)
       wrong.push_back(content);
   }
   for (const content_fingerprint content : wrong)
@@ -166,13 +168,14 @@
 
 // Runs that shared an endpoint with the quarantined content were cut off by it, so those deaths no
 // longer count against their contents.
-void quarantine_table::acquit_bystanders(content_fingerprint culprit,
-                                         const std::vector<ended_run>& ended) {
+void quarantine_table::clear_bystanders(content_fingerprint culprit,
+                                        const std::vector<ended_run>& ended) {
   absl::erase_if(suspects_, [&](auto& other) {
     if (other.first == culprit)
       return false;
     std::erase_if(other.second, [&](const ended_run& run) {
-      return std::ranges::any_of(ended, [&](const ended_run& r) { return same_life(r, run); });
+      return std::ranges::any_of(ended,
+                                 [&](const ended_run& r) { return same_incarnation(r, run); });
     });
     return other.second.empty();
   });
@@ -216,8 +219,8 @@
   for (const quarantine_record& record : news.records)
     merge_record(record, now);
   for (const death_evidence& d : news.deaths)
-    judge(d.content, now);
-  judge_again(now);
+    evaluate(d.content, now);
+  reevaluate_recent(now);
 }
 
 quarantine_news quarantine_table::take_news() {
@@ -232,11 +235,11 @@
 }
 
 void quarantine_table::expire(time_ms now) {
-  std::erase_if(deaths_, [&](const death& d) { return now - d.at > policy_.suspicion; });
+  std::erase_if(deaths_, [&](const death& d) { return now - d.at > policy_.evidence_lifetime; });
   absl::erase_if(verdicts_, [&](const auto& given) { return given.second.until <= now; });
   absl::erase_if(suspects_, [&](auto& other) {
     std::erase_if(other.second,
-                  [&](const ended_run& run) { return now - run.at > policy_.suspicion; });
+                  [&](const ended_run& run) { return now - run.at > policy_.evidence_lifetime; });
     return other.second.empty();
   });
 }
--- a/src/routing/impl/quarantine.hpp
+++ b/src/routing/impl/quarantine.hpp
@@ -15,11 +15,11 @@
 /// \brief Thresholds and durations of the quarantine.
 struct quarantine_policy {
   std::uint32_t endpoints_lost{2}; ///< endpoint deaths that quarantine a content
-  std::size_t mass_deaths{3};      ///< deaths within `mass_window` that count as one outage
-  time_ms mass_window{4000};
-  time_ms suspicion{600000}; ///< age at which an endpoint's death no longer counts
-  time_ms sentence{3600000}; ///< duration of a quarantine
-  std::size_t most_suspects{4096};
+  std::size_t outage_deaths{3};    ///< deaths within `outage_window` that count as one outage
+  time_ms outage_window{4000};
+  time_ms evidence_lifetime{600000};    ///< age at which an endpoint's death no longer counts
+  time_ms quarantine_duration{3600000}; ///< duration of a quarantine
+  std::size_t max_suspects{4096};
   std::size_t completed_kept{4096}; ///< recently completed contents to remember
 };
 
@@ -139,13 +139,13 @@
   void note_completed(content_fingerprint content, time_ms at);
   void note_end_of(const endpoint_id& endpoint, std::uint64_t life, time_ms at);
   bool add_run(content_fingerprint content, const ended_run& run);
-  [[nodiscard]] bool is_mass(const ended_run& run, const suspect_runs& runs) const;
-  [[nodiscard]] std::vector<ended_run> counted(const suspect_runs& runs) const;
-  [[nodiscard]] bool is_alone(content_fingerprint content,
-                              const std::vector<ended_run>& ended) const;
-  void judge(content_fingerprint content, time_ms now);
-  void judge_again(time_ms now);
-  void acquit_bystanders(content_fingerprint culprit, const std::vector<ended_run>& ended);
+  [[nodiscard]] bool is_part_of_outage(const ended_run& run, const suspect_runs& runs) const;
+  [[nodiscard]] std::vector<ended_run> excluding_outages(const suspect_runs& runs) const;
+  [[nodiscard]] bool is_sole_candidate(content_fingerprint content,
+                                       const std::vector<ended_run>& ended) const;
+  void evaluate(content_fingerprint content, time_ms now);
+  void reevaluate_recent(time_ms now);
+  void clear_bystanders(content_fingerprint culprit, const std::vector<ended_run>& ended);
   void set_verdict(content_fingerprint content, bool lifted, std::vector<endpoint_id> endpoints,
                    time_ms now);
   void merge_record(const quarantine_record& record, time_ms now);
--- a/src/routing/impl/retry_policy.cpp
+++ b/src/routing/impl/retry_policy.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double ms_per_s = 1000.0;
-constexpr std::uint32_t most_doublings = 10;
+constexpr std::uint32_t max_doublings = 10;
 
 } // namespace
 
@@ -26,7 +26,7 @@
 }
 
 void retry_budget::note_success(time_ms now) noexcept {
-  level_ = std::min(policy_.budget_most, left(now) + policy_.budget_share);
+  level_ = std::min(policy_.budget_capacity, left(now) + policy_.budget_share);
   updated_ = std::max(updated_, now);
 }
 
@@ -40,26 +40,26 @@
 }
 
 time_ms backoff(const retry_policy& policy, std::uint32_t attempts, random_source& random) {
-  const std::uint32_t doublings = std::min(attempts == 0 ? 0 : attempts - 1, most_doublings);
+  const std::uint32_t doublings = std::min(attempts == 0 ? 0 : attempts - 1, max_doublings);
   const std::int64_t whole =
-      std::min(policy.most_backoff.count(), policy.first_backoff.count() << doublings);
+      std::min(policy.max_backoff.count(), policy.first_backoff.count() << doublings);
   return time_ms{whole / 2 + static_cast<std::int64_t>(random.below(whole - whole / 2 + 1))};
 }
 
 retry_decision decide_retry(const failed_attempt& failed, const retry_policy& policy,
                             retry_budget& budget, random_source& random, time_ms now) {
-  const bool may_have_run = failed.stage != attempt_stage::connecting && !failed.refused_unrun;
-  const failed_so_far so_far{.may_have_run = may_have_run,
-                             .harmless_twice = failed.idempotent,
-                             .answer_begun = failed.stage == attempt_stage::streaming,
-                             .attempts = failed.attempts,
-                             .most_attempts = policy.most_attempts};
+  const bool may_have_run = failed.stage != attempt_stage::connecting && !failed.refused_before_run;
+  const failed_request so_far{.may_have_run = may_have_run,
+                              .idempotent = failed.idempotent,
+                              .response_started = failed.stage == attempt_stage::streaming,
+                              .attempts = failed.attempts,
+                              .max_attempts = policy.max_attempts};
   retry_decision decision;
   decision.refusal = refusal_after(so_far);
   decision.wait = std::max(backoff(policy, failed.attempts, random), failed.retry_after);
 
   // Resuming a run does not repeat it, so the request need not be idempotent.
-  if (failed.resumable && may_have_run && failed.attempts < policy.most_attempts) {
+  if (failed.resumable && may_have_run && failed.attempts < policy.max_attempts) {
     decision.action = retry_action::resume;
     return decision;
   }
@@ -72,12 +72,12 @@
 
 bool decide_hedge(const hedge_case& waiting, const hedge_policy& policy, retry_budget& budget,
                   time_ms now) {
-  const auto usual = static_cast<std::int64_t>(static_cast<double>(waiting.usual_p95.count()) *
-                                               policy.usual_wait_factor);
-  const time_ms wait = std::max(policy.least_wait, time_ms{usual});
+  const auto usual = static_cast<std::int64_t>(
+      static_cast<double>(waiting.first_token_p95.count()) * policy.p95_wait_factor);
+  const time_ms wait = std::max(policy.min_wait, time_ms{usual});
   const bool safe = waiting.idempotent && waiting.cancellable && !waiting.hedged;
-  const bool pays = waiting.prompt_tokens <= policy.most_prompt_tokens &&
-                    waiting.pool_load < policy.most_load && waiting.waited >= wait;
+  const bool pays = waiting.prompt_tokens <= policy.max_prompt_tokens &&
+                    waiting.pool_load < policy.max_load && waiting.waited >= wait;
   return safe && pays && budget.spend(now);
 }
 
--- a/src/routing/impl/retry_policy.hpp
+++ b/src/routing/impl/retry_policy.hpp
@@ -6,13 +6,13 @@
 
 /// \brief Limits of retries, and the parameters of the retry budget and backoff.
 struct retry_policy {
-  std::uint32_t most_attempts{3};
-  double budget_share{0.2};   ///< retries added to the budget per success
-  double budget_most{100.0};  ///< capacity of the budget
-  double budget_per_s{1.0};   ///< retries added per second, for hosts with little traffic
-  double budget_reserve{5.0}; ///< level up to which time alone fills the budget
+  std::uint32_t max_attempts{3};
+  double budget_share{0.2};      ///< retries added to the budget per success
+  double budget_capacity{100.0}; ///< capacity of the budget
+  double budget_per_s{1.0};      ///< retries added per second, for hosts with little traffic
+  double budget_reserve{5.0};    ///< level up to which time alone fills the budget
   time_ms first_backoff{50};
-  time_ms most_backoff{2000};
+  time_ms max_backoff{2000};
 };
 
 /// \brief Budget of a pool's retries. Successes add to it, retries and hedges take from it, so that
@@ -52,7 +52,7 @@
 /// \brief A failed attempt, as input to `decide_retry`.
 struct failed_attempt {
   attempt_stage stage{attempt_stage::sent};
-  bool refused_unrun{};      ///< the endpoint refused the request without running it
+  bool refused_before_run{}; ///< the endpoint refused the request without running it
   bool idempotent{};         ///< running it twice is safe
   bool resumable{};          ///< the engine keeps the run and can send the rest
   std::uint32_t attempts{1}; ///< attempts made, including this one
@@ -93,10 +93,10 @@
 
 /// \brief Limits of hedged requests.
 struct hedge_policy {
-  double usual_wait_factor{3.0}; ///< multiple of the class's p95 to wait before a second attempt
-  time_ms least_wait{300};
-  std::uint32_t most_prompt_tokens{2048}; ///< a second prefill of a longer prompt costs too much
-  double most_load{0.8};                  ///< fraction of the pool's places in use
+  double p95_wait_factor{3.0}; ///< multiple of the class's p95 to wait before a second attempt
+  time_ms min_wait{300};
+  std::uint32_t max_prompt_tokens{2048}; ///< a second prefill of a longer prompt costs too much
+  double max_load{0.8};                  ///< fraction of the pool's places in use
 };
 
 /// \brief A request that waits for its first token, as input to `decide_hedge`.
@@ -107,7 +107,7 @@
   std::uint32_t prompt_tokens{};
   double pool_load{}; ///< requests at endpoints per place
   time_ms waited;
-  time_ms usual_p95; ///< p95 of the class's time to the first token
+  time_ms first_token_p95; ///< p95 of the class's time to the first token
 };
 
 /// \returns whether to start a second attempt now, which takes one retry from the budget
--- a/src/routing/impl/run_lengths.cpp
+++ b/src/routing/impl/run_durations.cpp
@@ -1,4 +1,4 @@
-#include "routing/impl/run_lengths.hpp"
+#include "routing/impl/run_durations.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -8,17 +8,17 @@
 namespace {
 
 // With fewer samples, one in ten is less than one request.
-constexpr std::size_t least_noted = 8;
+constexpr std::size_t min_recorded = 8;
 
 // Configurations add and remove kinds; beyond this bound all samples are dropped.
-constexpr std::size_t most_kinds = 512;
+constexpr std::size_t max_kinds = 512;
 
 constexpr std::size_t whole = 100;
 
 } // namespace
 
-void run_lengths::note(const std::string& kind, time_ms length) {
-  if (kinds_.size() >= most_kinds && !kinds_.contains(kind))
+void run_durations::note(const std::string& kind, time_ms length) {
+  if (kinds_.size() >= max_kinds && !kinds_.contains(kind))
     kinds_.clear();
   ring& of = kinds_[kind];
   constexpr std::int64_t longest = std::numeric_limits<std::uint32_t>::max();
@@ -27,9 +27,9 @@
   ++of.noted;
 }
 
-std::optional<time_ms> run_lengths::within(const std::string& kind, std::size_t percent) const {
+std::optional<time_ms> run_durations::within(const std::string& kind, std::size_t percent) const {
   const auto at = kinds_.find(kind);
-  if (at == kinds_.end() || at->second.noted < least_noted)
+  if (at == kinds_.end() || at->second.noted < min_recorded)
     return std::nullopt;
   std::array<std::uint32_t, kept> sorted = at->second.lengths;
   const std::size_t count = std::min(at->second.noted, kept);
--- a/src/routing/impl/run_lengths.hpp
+++ b/src/routing/impl/run_durations.hpp
@@ -11,7 +11,7 @@
 namespace sedgechute {
 
 /// \brief Durations of recent requests, by kind. Not thread-safe.
-class run_lengths {
+class run_durations {
  public:
   void note(const std::string& kind, time_ms length);
   /// \returns the duration within which `percent` of the recent requests ended, or nothing if too
--- a/src/routing/impl/share_answer.hpp
+++ b/src/routing/impl/share_answer.hpp
@@ -22,7 +22,7 @@
   share_report all_;
   std::vector<team_grant> grants_;
   absl::flat_hash_map<team_id, std::size_t> places_;
-  share_report nobody_named_; ///< the answer to a report without teams
+  share_report unnamed_answer_; ///< the answer to a report without teams
 };
 
 } // namespace sedgechute
--- a/src/routing/impl/share_plan.cpp
+++ b/src/routing/impl/share_plan.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr double ms_per_s = 1000.0;
-constexpr double least_demand = 1e-9;
+constexpr double min_demand = 1e-9;
 // Smallest weight on a host, as a fraction of an equal part: a team with hardly any requests here
 // so far must not start from zero.
-constexpr double least_part = 0.25;
+constexpr double min_part = 0.25;
 // Fraction of a team's limits that is divided equally over the hosts; the rest is divided by
 // demand, so all parts sum to 1.
 constexpr double equal_part = 0.2;
@@ -59,33 +59,32 @@
 // Weight factor for a team that was served less or more than its grant over the last period.
 // Without it, delays and cost estimates would leave a permanent error.
 double correction(double granted, double served, const share_policy& policy) {
-  if (granted <= least_demand)
+  if (granted <= min_demand)
     return 1.0;
   const double error = (granted - served) / granted;
-  return std::clamp(1.0 + policy.feedback * error, 1.0 / policy.most_feedback,
-                    policy.most_feedback);
+  return std::clamp(1.0 + policy.feedback * error, 1.0 / policy.max_feedback, policy.max_feedback);
 }
 
 // Returns a team's demand as a multiple of its share. The backlog is excluded because it may stem
 // from a momentary overload.
-double times_share(const claim& c, const team_demand& all) {
-  return c.granted < c.wanted ? all.wanted / std::max(c.granted, least_demand) : 0.0;
+double demand_ratio(const claim& c, const team_demand& all) {
+  return c.granted < c.wanted ? all.wanted / std::max(c.granted, min_demand) : 0.0;
 }
 
 // Recent service is required as well, because a single long request of a small team is no flood.
 double excess_of(const claim& c, const team_demand& all, const share_policy& policy) {
   if (all.queued <= 0.0 || all.served < policy.beyond_from * c.granted)
     return 0.0;
-  return std::clamp((times_share(c, all) - policy.flood_from) / policy.flood_range, 0.0, 1.0);
+  return std::clamp((demand_ratio(c, all) - policy.flood_from) / policy.flood_range, 0.0, 1.0);
 }
 
-bool is_short(const share_inputs& inputs, const share_policy& policy) {
+bool is_overloaded(const share_inputs& inputs, const share_policy& policy) {
   double queued = inputs.all.others.queued;
   for (const team_demand& team : inputs.all.teams)
     queued += team.queued;
   return inputs.pool_rate > 0.0 &&
-         (queued > policy.short_queue_s * inputs.pool_rate ||
-          inputs.all.urgent_queued > policy.short_urgent_s * inputs.pool_rate);
+         (queued > policy.overload_queue_s * inputs.pool_rate ||
+          inputs.all.urgent_queued > policy.overload_urgent_s * inputs.pool_rate);
 }
 
 // Returns the fraction of the service that goes to teams which do not flood. If nearly all teams
@@ -97,10 +96,10 @@
   for (const claim& c : claims) {
     const team_demand& team = inputs.all.teams[c.index];
     all += team.served;
-    entitled += times_share(c, team) < policy.flood_from ? team.served : 0.0;
+    entitled += demand_ratio(c, team) < policy.flood_from ? team.served : 0.0;
   }
   const double part = all <= 0.0 ? 0.0 : entitled / all;
-  return part < policy.least_entitled ? 0.0 : part;
+  return part < policy.min_entitled ? 0.0 : part;
 }
 
 // If a speaker has divided the whole sum, its grant to the others is used. Max-min division is
@@ -140,11 +139,11 @@
   inputs.all = all;
   std::vector<team_grant> grants(all.teams.size());
   for (const claim& c : claims_of(inputs, {}, policy))
-    grants[c.index] = {c.granted, times_share(c, all.teams[c.index]) >= policy.flood_from};
+    grants[c.index] = {c.granted, demand_ratio(c, all.teams[c.index]) >= policy.flood_from};
   return grants;
 }
 
-share_report merge_reports(std::span<const share_report> reports, std::size_t most_teams) {
+share_report merge_reports(std::span<const share_report> reports, std::size_t max_teams) {
   share_report sum;
   sum.hosts = 0;
   absl::flat_hash_map<team_id, std::size_t> places;
@@ -164,7 +163,7 @@
   std::ranges::sort(sum.teams, [](const team_demand& a, const team_demand& b) {
     return a.wanted != b.wanted ? a.wanted > b.wanted : a.team < b.team;
   });
-  while (sum.teams.size() > most_teams) {
+  while (sum.teams.size() > max_teams) {
     add(sum.others, sum.teams.back());
     sum.teams.pop_back();
   }
@@ -174,32 +173,32 @@
 share_plan plan_shares(const share_inputs& inputs, std::span<const team_weight> weights,
                        const share_policy& policy) {
   const std::vector<claim> claims = claims_of(inputs, weights, policy);
-  const bool pool_short = is_short(inputs, policy);
+  const bool overloaded = is_overloaded(inputs, policy);
   const double equal = 1.0 / hosts_of(inputs.all);
   share_plan plan;
-  plan.entitled_part = pool_short ? entitled_part_of(claims, inputs, policy) : 0.0;
+  plan.entitled_part = overloaded ? entitled_part_of(claims, inputs, policy) : 0.0;
   double granted_all = granted_to_others(inputs.all, policy);
-  const double others_wanted = std::max(least_demand, demand_of(inputs.all.others, policy));
+  const double others_wanted = std::max(min_demand, demand_of(inputs.all.others, policy));
   double granted_here = demand_of(inputs.own.others, policy) * granted_all / others_wanted;
   for (const claim& c : claims) {
     const team_demand& all = inputs.all.teams[c.index];
     granted_all += c.granted;
     const team_demand* const own = find(inputs.own, all.team);
-    if (own == nullptr || c.wanted <= least_demand)
+    if (own == nullptr || c.wanted <= min_demand)
       continue;
     const double part = std::min(1.0, demand_of(*own, policy) / c.wanted);
     granted_here += c.granted * part;
-    const bool limited = pool_short && c.granted < c.wanted;
+    const bool limited = overloaded && c.granted < c.wanted;
     const double factor = limited ? correction(c.granted, all.served, policy) : 1.0;
     // A team that demands less than its share keeps its full weight, so that it never waits.
-    const double weight = c.weight * std::max(part, least_part * equal) * factor;
+    const double weight = c.weight * std::max(part, min_part * equal) * factor;
     const double fraction = (1.0 - equal_part) * part + equal_part * equal;
     const double excess = plan.entitled_part > 0.0 ? excess_of(c, all, policy) : 0.0;
     plan.teams.push_back({all.team, weight, fraction, excess});
   }
-  const double part_here = granted_all <= least_demand ? equal : granted_here / granted_all;
-  const double floors = policy.floor_slots * hosts_of(inputs.all);
-  plan.slots = policy.floor_slots + std::max(0.0, inputs.pool_slots - floors) * part_here;
+  const double part_here = granted_all <= min_demand ? equal : granted_here / granted_all;
+  const double floors = policy.min_slots * hosts_of(inputs.all);
+  plan.slots = policy.min_slots + std::max(0.0, inputs.pool_slots - floors) * part_here;
   return plan;
 }
 
--- a/src/routing/impl/share_plan.hpp
+++ b/src/routing/impl/share_plan.hpp
@@ -38,9 +38,9 @@
   double others_beyond{};  ///< scope `fleet` only: served to those of `others` beyond their share
 };
 
-/// \returns the sum of the reports, with at most `most_teams` named teams and the rest in `others`
+/// \returns the sum of the reports, with at most `max_teams` named teams and the rest in `others`
 [[nodiscard]] share_report merge_reports(std::span<const share_report> reports,
-                                         std::size_t most_teams);
+                                         std::size_t max_teams);
 
 /// \brief One team's share of this host's service.
 struct team_share {
@@ -65,20 +65,20 @@
 
 /// \brief Parameters of the division of a pool.
 struct share_policy {
-  double floor_slots{1.0}; ///< minimum credit of every host, so that arriving work starts at once
-  double feedback{0.5};    ///< gain of the correction of a team's service error
-  double most_feedback{2.0};
-  double flood_from{1.3};      ///< demand, as a multiple of its share, from which a team floods
-  double least_entitled{0.25}; ///< service fraction of other teams from which they are protected
-  double flood_range{0.5};     ///< increase of that multiple until `excess` is 1
-  double beyond_from{0.95}; ///< service, as a multiple of its share, from which a team exceeds it
+  double min_slots{1.0}; ///< minimum credit of every host, so that arriving work starts at once
+  double feedback{0.5};  ///< gain of the correction of a team's service error
+  double max_feedback{2.0};
+  double flood_from{1.3};    ///< demand, as a multiple of its share, from which a team floods
+  double min_entitled{0.25}; ///< service fraction of other teams from which they are protected
+  double flood_range{0.5};   ///< increase of that multiple until `excess` is 1
+  double beyond_from{0.95};  ///< service, as a multiple of its share, from which a team exceeds it
   /// Backlog from which a pool is overloaded, in seconds of its service: without long_running work,
   /// and with it. Long work often waits by choice, so its bound is higher.
-  double short_urgent_s{0.3};
-  double short_queue_s{2.0};
-  std::size_t most_teams{64}; ///< teams named in a report
-  time_ms horizon{2000};      ///< time over which a backlog is spread as demand
-  time_ms silence{3500};      ///< age at which a host's last report expires
+  double overload_urgent_s{0.3};
+  double overload_queue_s{2.0};
+  std::size_t max_teams{64};     ///< teams named in a report
+  time_ms horizon{2000};         ///< time over which a backlog is spread as demand
+  time_ms report_lifetime{3500}; ///< age at which a host's last report expires
 };
 
 /// \brief Input of `plan_shares`.
--- a/src/routing/impl/share_relay.cpp
+++ b/src/routing/impl/share_relay.cpp
@@ -20,7 +20,7 @@
 // A report stays valid if the next two are lost. An answer stays valid after its speaker has
 // failed, until the next speaker has been chosen and has listened for its rounds.
 constexpr std::int64_t rounds_kept = 4;
-constexpr time_ms detection{2000};
+constexpr time_ms failure_detection{2000};
 
 std::vector<host_id> candidates(const std::vector<share_member>& members,
                                 const data_centre_id& data_centre, bool leaving) {
@@ -100,8 +100,8 @@
   return now - speakers.since >= interval() * rounds_listened;
 }
 
-bool share_relay::is_recent(const heard_report& heard, time_ms now) const {
-  return now - heard.at <= interval() * rounds_kept + detection;
+bool share_relay::is_recent(const received_report& received, time_ms now) const {
+  return now - received.at <= interval() * rounds_kept + failure_detection;
 }
 
 // A late answer of a former speaker must not replace its successor's: it may lack hosts that the
@@ -110,7 +110,7 @@
   const share_member* const sender = member_of(report.from);
   if (sender == nullptr || report.from == self_)
     return;
-  const auto keep = [&](heard_report& known) {
+  const auto keep = [&](received_report& known) {
     if (is_newer(report, known.report))
       known = {report, now};
   };
@@ -124,7 +124,7 @@
       keep(from_centres_[report.pool][sender->data_centre]);
     return;
   case share_scope::fleet: {
-    heard_report& known = answers_[report.pool];
+    received_report& known = answers_[report.pool];
     const bool from_speaker = speakers(report.pool, now).of.at(here_) == report.from;
     if (sender->data_centre == here_ && (from_speaker || !is_recent(known, now)))
       keep(known);
@@ -133,7 +133,7 @@
   }
 }
 
-void share_relay::take_own(std::vector<share_report> own) {
+void share_relay::record_own(std::vector<share_report> own) {
   own_.clear();
   for (share_report& report : own) {
     measured_[report.pool].push_back(report);
@@ -144,7 +144,7 @@
 // A round may last several seconds, and its last second alone would omit most teams: in a large
 // fleet a team has only occasional requests at any one host.
 share_report share_relay::mean_of(const std::vector<share_report>& measured) const {
-  share_report mean = merge_reports(measured, policy_.most_teams);
+  share_report mean = merge_reports(measured, policy_.max_teams);
   const double part = 1.0 / static_cast<double>(measured.size());
   const auto scale = [part](team_demand& team) {
     team.wanted *= part;
@@ -162,7 +162,7 @@
 }
 
 std::vector<addressed_shares> share_relay::exchange(std::vector<share_report> own, time_ms now) {
-  take_own(std::move(own));
+  record_own(std::move(own));
   if (last_round_ && now - *last_round_ < interval() - tolerance)
     return {};
   last_round_ = now;
@@ -173,7 +173,7 @@
     const pool_speakers& known = speakers(pool, now);
     const incarnation& speaker = known.of.at(here_);
     if (speaker == self_)
-      speak(pool, known, now);
+      publish_sums(pool, known, now);
     else
       queue(speaker, report);
   }
@@ -185,11 +185,11 @@
 
 // A new speaker has reports from few hosts. Its sum would divide the pool over these alone, and the
 // credits of all hosts would add up to far more than the pool, so it first listens for some rounds.
-void share_relay::speak(const pool_id& pool, const pool_speakers& speakers, time_ms now) {
+void share_relay::publish_sums(const pool_id& pool, const pool_speakers& speakers, time_ms now) {
   if (!has_listened(speakers, now))
     return;
-  const std::vector<share_report> near = heard_here(pool, now);
-  share_report here = merge_reports(near, policy_.most_teams);
+  const std::vector<share_report> near = local_reports(pool, now);
+  share_report here = merge_reports(near, policy_.max_teams);
   here.pool = pool;
   here.from = self_;
   here.sequence = ++sequence_;
@@ -197,9 +197,9 @@
   for (const auto& [data_centre, speaker] : speakers.of)
     if (data_centre != here_)
       queue(speaker, here);
-  std::vector<share_report> heard = heard_elsewhere(pool, now);
-  heard.insert(heard.end(), near.begin(), near.end());
-  share_report all = merge_reports(heard, std::numeric_limits<std::size_t>::max());
+  std::vector<share_report> received = remote_reports(pool, now);
+  received.insert(received.end(), near.begin(), near.end());
+  share_report all = merge_reports(received, std::numeric_limits<std::size_t>::max());
   all.pool = pool;
   all.from = self_;
   all.sequence = here.sequence;
@@ -209,24 +209,24 @@
       queue(asked.from, answers.answer_to(asked));
 }
 
-std::vector<share_report> share_relay::heard_here(const pool_id& pool, time_ms now) const {
-  std::vector<share_report> heard;
+std::vector<share_report> share_relay::local_reports(const pool_id& pool, time_ms now) const {
+  std::vector<share_report> received;
   if (const auto known = from_hosts_.find(pool); known != from_hosts_.end())
     for (const auto& [host, one] : known->second)
       if (is_recent(one, now))
-        heard.push_back(one.report);
+        received.push_back(one.report);
   if (const auto own = mean_.find(pool); own != mean_.end())
-    heard.push_back(own->second);
-  return heard;
+    received.push_back(own->second);
+  return received;
 }
 
-std::vector<share_report> share_relay::heard_elsewhere(const pool_id& pool, time_ms now) const {
-  std::vector<share_report> heard;
+std::vector<share_report> share_relay::remote_reports(const pool_id& pool, time_ms now) const {
+  std::vector<share_report> received;
   if (const auto known = from_centres_.find(pool); known != from_centres_.end())
     for (const auto& [data_centre, one] : known->second)
       if (is_recent(one, now))
-        heard.push_back(one.report);
-  return heard;
+        received.push_back(one.report);
+  return received;
 }
 
 // Adds the teams whose requests began here after the last report. They are not in the answer, and
@@ -245,10 +245,10 @@
           sum.teams.push_back(team);
     return sum;
   }
-  std::vector<share_report> heard = heard_elsewhere(pool, now);
-  const std::vector<share_report> near = heard_here(pool, now);
-  heard.insert(heard.end(), near.begin(), near.end());
-  return merge_reports(heard, policy_.most_teams);
+  std::vector<share_report> received = remote_reports(pool, now);
+  const std::vector<share_report> near = local_reports(pool, now);
+  received.insert(received.end(), near.begin(), near.end());
+  return merge_reports(received, policy_.max_teams);
 }
 
 void share_relay::queue(const incarnation& to, share_report report) {
--- a/src/routing/impl/share_relay.hpp
+++ b/src/routing/impl/share_relay.hpp
@@ -48,7 +48,7 @@
   [[nodiscard]] time_ms interval() const;
 
  private:
-  struct heard_report {
+  struct received_report {
     share_report report;
     time_ms at;
   };
@@ -58,18 +58,18 @@
     time_ms since;
   };
   /// By pool, then by reporting host or data centre.
-  using host_reports = std::map<pool_id, std::map<host_id, heard_report>>;
-  using centre_reports = std::map<pool_id, std::map<data_centre_id, heard_report>>;
+  using host_reports = std::map<pool_id, std::map<host_id, received_report>>;
+  using centre_reports = std::map<pool_id, std::map<data_centre_id, received_report>>;
 
   [[nodiscard]] const share_member* member_of(const incarnation& host) const;
   [[nodiscard]] const pool_speakers& speakers(const pool_id& pool, time_ms now);
   [[nodiscard]] bool has_listened(const pool_speakers& speakers, time_ms now) const;
-  [[nodiscard]] bool is_recent(const heard_report& heard, time_ms now) const;
-  [[nodiscard]] std::vector<share_report> heard_here(const pool_id& pool, time_ms now) const;
-  [[nodiscard]] std::vector<share_report> heard_elsewhere(const pool_id& pool, time_ms now) const;
-  void take_own(std::vector<share_report> own);
+  [[nodiscard]] bool is_recent(const received_report& received, time_ms now) const;
+  [[nodiscard]] std::vector<share_report> local_reports(const pool_id& pool, time_ms now) const;
+  [[nodiscard]] std::vector<share_report> remote_reports(const pool_id& pool, time_ms now) const;
+  void record_own(std::vector<share_report> own);
   [[nodiscard]] share_report mean_of(const std::vector<share_report>& measured) const;
-  void speak(const pool_id& pool, const pool_speakers& speakers, time_ms now);
+  void publish_sums(const pool_id& pool, const pool_speakers& speakers, time_ms now);
   void queue(const incarnation& to, share_report report);
 
   incarnation self_;
@@ -82,7 +82,7 @@
   std::map<pool_id, share_report> mean_;                  ///< mean over the last round
   host_reports from_hosts_;
   centre_reports from_centres_;
-  std::map<pool_id, heard_report> answers_;
+  std::map<pool_id, received_report> answers_;
   std::uint64_t sequence_{};
   std::optional<time_ms> last_round_;
   std::map<incarnation, std::vector<share_report>> due_;
--- a/src/routing/impl/share_table.cpp
+++ b/src/routing/impl/share_table.cpp
@@ -9,7 +9,7 @@
 constexpr double ms_per_s = 1000.0;
 constexpr double smoothing = 0.06; // weight of the latest second in a team's averages
 constexpr double wanted_smoothing = 0.06;
-constexpr double least_rate = 1e-3;
+constexpr double min_rate = 1e-3;
 
 } // namespace
 
@@ -28,7 +28,7 @@
       const double arriving = (team.arrived_cost - last.arrived) / elapsed_s;
       const double served = std::max(0.0, (team.started_cost - last.started) / elapsed_s);
       last.wanted += wanted_smoothing * (arriving - last.wanted);
-      if (last.wanted > least_rate || served > least_rate)
+      if (last.wanted > min_rate || served > min_rate)
         full.teams.push_back({team.team, last.wanted, served, team.queued_cost});
     }
     full.urgent_queued += team.urgent_cost;
@@ -38,7 +38,7 @@
   }
   measured_ = now;
   ever_measured_ = true;
-  share_report report = merge_reports({&full, 1}, policy_.most_teams);
+  share_report report = merge_reports({&full, 1}, policy_.max_teams);
   report.pool = pool_;
   report.from = self_;
   report.hosts = 1;
@@ -50,22 +50,22 @@
 void share_table::merge(const share_report& report, time_ms now) {
   if (report.pool != pool_)
     return;
-  heard_report& known = heard_[report.from];
+  received_report& known = received_[report.from];
   if (known.report.sequence >= report.sequence && known.report.sequence != 0)
     return;
   known = {report, now};
 }
 
-void share_table::forget_silent(time_ms now) {
-  absl::erase_if(heard_, [&](const auto& heard) {
-    return heard.first != self_ && now - heard.second.at > policy_.silence;
+void share_table::drop_expired(time_ms now) {
+  absl::erase_if(received_, [&](const auto& received) {
+    return received.first != self_ && now - received.second.at > policy_.report_lifetime;
   });
 }
 
 std::uint32_t share_table::hosts() const {
   std::uint32_t sum = 0;
-  for (const auto& [from, heard] : heard_)
-    sum += heard.report.hosts;
+  for (const auto& [from, received] : received_)
+    sum += received.report.hosts;
   return std::max<std::uint32_t>(1, sum);
 }
 
@@ -73,34 +73,34 @@
 // with its grant.
 share_inputs share_table::inputs(double pool_slots) {
   std::vector<share_report> reports;
-  reports.reserve(heard_.size());
-  for (const auto& [from, heard] : heard_)
-    reports.push_back(heard.report);
+  reports.reserve(received_.size());
+  for (const auto& [from, received] : received_)
+    reports.push_back(received.report);
   share_inputs result;
   result.pool_slots = pool_slots;
-  result.all = merge_reports(reports, policy_.most_teams);
-  const auto own = heard_.find(self_);
-  if (own != heard_.end())
+  result.all = merge_reports(reports, policy_.max_teams);
+  const auto own = received_.find(self_);
+  if (own != received_.end())
     result.own = own->second.report;
 
-  absl::flat_hash_map<team_id, double> usual;
+  absl::flat_hash_map<team_id, double> average;
   double rate = result.all.others.served;
   for (team_demand& team : result.all.teams) {
-    const auto known = usual_.find(team.team);
+    const auto known = average_service_.find(team.team);
     double served = team.served;
-    if (known != usual_.end())
+    if (known != average_service_.end())
       served = known->second + smoothing * (team.served - known->second);
-    usual[team.team] = served;
+    average[team.team] = served;
     team.served = served;
     rate += served;
   }
-  usual_ = std::move(usual);
+  average_service_ = std::move(average);
   result.pool_rate = rate;
   return result;
 }
 
 void share_table::apply_plan(fair_queue& queue, double pool_slots, time_ms now) {
-  forget_silent(now);
+  drop_expired(now);
   const share_inputs current = inputs(pool_slots);
   const share_plan plan = plan_shares(current, weights_, policy_);
   queue.set_credit(plan.slots);
--- a/src/routing/impl/share_table.hpp
+++ b/src/routing/impl/share_table.hpp
@@ -26,7 +26,7 @@
   [[nodiscard]] std::uint32_t hosts() const;
 
  private:
-  struct heard_report {
+  struct received_report {
     share_report report;
     time_ms at;
   };
@@ -37,7 +37,7 @@
     double wanted{}; ///< moving average of the arrival rate
   };
 
-  void forget_silent(time_ms now);
+  void drop_expired(time_ms now);
   [[nodiscard]] share_inputs inputs(double pool_slots);
 
   pool_id pool_;
@@ -47,8 +47,8 @@
   time_ms measured_;
   bool ever_measured_{};
   absl::flat_hash_map<team_id, team_totals> totals_;
-  absl::flat_hash_map<incarnation, heard_report> heard_;
-  absl::flat_hash_map<team_id, double> usual_; ///< moving average of each team's service
+  absl::flat_hash_map<incarnation, received_report> received_;
+  absl::flat_hash_map<team_id, double> average_service_; ///< moving average of each team's service
   std::vector<team_weight> weights_;
 };
 
--- a/src/routing/impl/stall_policy.cpp
+++ b/src/routing/impl/stall_policy.cpp
@@ -51,7 +51,7 @@
   case probe_result::run_known:
     break;
   }
-  if (watch.resumes >= policy.most_resumes)
+  if (watch.resumes >= policy.max_resumes)
     return {stall_step::give_up, now};
   ++watch.resumes;
   watch.probing = false;
--- a/src/routing/impl/stall_policy.hpp
+++ b/src/routing/impl/stall_policy.hpp
@@ -25,8 +25,8 @@
   time_ms connect{1000};
   time_ms first_byte{5000};
   time_ms between_bytes{5000};
-  time_ms probe{1500};           ///< timeout of a probe
-  std::uint32_t most_resumes{3}; ///< reconnects of one run before it is given up
+  time_ms probe{1500};          ///< timeout of a probe
+  std::uint32_t max_resumes{3}; ///< reconnects of one run before it is given up
 };
 
 /// \brief Stall detection state of one exchange.
--- a/src/routing/impl/stop_policy.cpp
+++ b/src/routing/impl/stop_policy.cpp
@@ -28,7 +28,7 @@
 // A tenth remains unallocated, because each step detects its timeout some milliseconds late. On a
 // machine that stalled the exit begins late; full-length steps would exceed the grace, and the last
 // log lines would be lost.
-exit_spans spans_of_exit(const stop_bounds& bounds, time_ms since) noexcept {
+exit_timeouts exit_timeouts_for(const stop_bounds& bounds, time_ms since) noexcept {
   constexpr std::int64_t parts = 20;
   const time_ms left = std::max(bounds.grace - since, time_ms{0});
   const time_ms kept = std::min(bounds.grace - cut_after(bounds), left);
--- a/src/routing/impl/stop_policy.hpp
+++ b/src/routing/impl/stop_policy.hpp
@@ -33,14 +33,14 @@
 [[nodiscard]] bool may_end(const stop_bounds& bounds, time_ms since, std::size_t open) noexcept;
 
 /// \brief Time limit of each step of the exit; the sum is less than `kept_for_exit`.
-struct exit_spans {
+struct exit_timeouts {
   time_ms answers;  ///< flushing responses to callers
   time_ms exchange; ///< returning tokens to the store
   time_ms lines;    ///< flushing log lines
 };
 
 /// \param since  time from the signal to the start of the exit
-[[nodiscard]] exit_spans spans_of_exit(const stop_bounds& bounds, time_ms since) noexcept;
+[[nodiscard]] exit_timeouts exit_timeouts_for(const stop_bounds& bounds, time_ms since) noexcept;
 
 /// \brief Contradiction between bounds.
 enum class stop_fault {
--- a/src/routing/routing.hpp
+++ b/src/routing/routing.hpp
@@ -68,7 +68,7 @@
 #include "routing/impl/queued_work.hpp"
 #include "routing/impl/retry_policy.hpp"
 #include "routing/impl/routing_message.hpp"
-#include "routing/impl/run_lengths.hpp"
+#include "routing/impl/run_durations.hpp"
 #include "routing/impl/share_answer.hpp"
 #include "routing/impl/share_plan.hpp"
 #include "routing/impl/share_relay.hpp"
--- a/tests/relay/stop_gaps_test.cpp
+++ b/tests/relay/stop_gaps_test.cpp
@@ -181,8 +181,8 @@
   REQUIRE(at.has_open(1));
   at.relay().stop().begin();
   at.relay().stop().cut();
-  CHECK(status_of(caller.read_all(spans_of_exit(options.stop, cut_after(options.stop)).answers)) ==
-        503);
+  CHECK(status_of(caller.read_all(
+            exit_timeouts_for(options.stop, cut_after(options.stop)).answers)) == 503);
 }
 
 // The same wait, and its caller leaves. What is sent on after that is work for nobody.
--- a/tests/routing/endpoint_health_test.cpp
+++ b/tests/routing/endpoint_health_test.cpp
@@ -74,7 +74,7 @@
       const health_policy policy;
       const std::size_t ejected = p.count(endpoint_state::ejected);
       RC_ASSERT(static_cast<double>(ejected) <=
-                policy.most_ejected * static_cast<double>(p.members.size()));
+                policy.max_ejected * static_cast<double>(p.members.size()));
       for (const endpoint_health& out : p.members)
         for (const endpoint_health& in : p.members)
           if (out.state == endpoint_state::ejected && in.state == endpoint_state::serving)
--- a/tests/routing/fair_queue_test.cpp
+++ b/tests/routing/fair_queue_test.cpp
@@ -156,7 +156,7 @@
         draft_started = true;
       else
         chat_served += grant->cost;
-      if (now <= policy.patience[2])
+      if (now <= policy.aging_delay[2])
         CHECK_FALSE(draft_started);
     }
     CHECK(draft_started);
--- a/tests/routing/order_planner_test.cpp
+++ b/tests/routing/order_planner_test.cpp
@@ -177,13 +177,13 @@
 
   TEST_CASE("a new decider is announced to each engine until the engine confirms") {
     pool p{2};
-    const auto first = p.planner.introductions(p.engines, p.now);
+    const auto first = p.planner.epoch_announcements(p.engines, p.now);
     REQUIRE(first.size() == 2);
     CHECK(first[0].fencing == 7);
     CHECK(first[0].role == p.engines[0].role);
     p.planner.note_answer(first[0].id, order_answer::done, {}, p.now);
-    CHECK(p.planner.introductions(p.engines, p.now).empty());
-    const auto again = p.planner.introductions(p.engines, p.now + 6_s);
+    CHECK(p.planner.epoch_announcements(p.engines, p.now).empty());
+    const auto again = p.planner.epoch_announcements(p.engines, p.now + 6_s);
     REQUIRE(again.size() == 1);
     CHECK(again[0].endpoint == p.engines[1].endpoint);
     p.planner.note_answer(again[0].id, order_answer::newer_epoch, {}, p.now);
--- a/tests/routing/quarantine_test.cpp
+++ b/tests/routing/quarantine_test.cpp
@@ -141,7 +141,7 @@
     quarantine_table c;
     for (int i = 1; i <= 2; ++i)
       c.note_death(name(i), 1, runs({poison}), 10_s * i);
-    c.expire(20_s + quarantine_policy{}.sentence);
+    c.expire(20_s + quarantine_policy{}.quarantine_duration);
     CHECK(c.standing(poison) == content_standing::clear);
   }
 }
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -28,15 +28,16 @@
       random_source random{*rc::gen::arbitrary<std::uint64_t>()};
       failed_attempt failed =
           failure(static_cast<attempt_stage>(*rc::gen::inRange(0, 3)), *rc::gen::arbitrary<bool>());
-      failed.refused_unrun = *rc::gen::arbitrary<bool>();
+      failed.refused_before_run = *rc::gen::arbitrary<bool>();
       failed.attempts = *rc::gen::inRange(1, 5);
       const retry_decision d = decide_retry(failed, policy, budget, random, time_ms{0});
-      const bool may_have_run = failed.stage != attempt_stage::connecting && !failed.refused_unrun;
+      const bool may_have_run =
+          failed.stage != attempt_stage::connecting && !failed.refused_before_run;
       if (may_have_run && !failed.idempotent) {
         RC_ASSERT(d.action == retry_action::refuse);
         RC_ASSERT(answer_for(d.refusal).outcome != run_outcome::not_run);
       }
-      if (failed.attempts >= policy.most_attempts)
+      if (failed.attempts >= policy.max_attempts)
         RC_ASSERT(d.action == retry_action::refuse);
     }));
   }
@@ -114,7 +115,7 @@
     waiting.idempotent = true;
     waiting.cancellable = true;
     waiting.prompt_tokens = 300;
-    waiting.usual_p95 = 200_ms;
+    waiting.first_token_p95 = 200_ms;
     waiting.waited = 700_ms;
     for (int i = 0; i < 20; ++i)
       budget.note_success(time_ms{0});
--- a/tests/routing/run_lengths_test.cpp
+++ b/tests/routing/run_durations_test.cpp
@@ -5,7 +5,7 @@
 using namespace sedgechute;
 
 TEST_CASE("durations are unknown until enough runs have ended") {
-  run_lengths lengths;
+  run_durations lengths;
   for (int i = 0; i < 7; ++i)
     lengths.note("a", time_ms{100});
   CHECK_FALSE(lengths.within("a", 90).has_value());
@@ -15,7 +15,7 @@
 }
 
 TEST_CASE("the duration within which a percentage of the last runs ended") {
-  run_lengths lengths;
+  run_durations lengths;
   for (int i = 0; i < 50; ++i)
     lengths.note("a", time_ms{10000}); // replaced by the next 64
   for (int i = 1; i <= 64; ++i)
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE("memory is bounded for any number of kinds") {
-  run_lengths lengths;
+  run_durations lengths;
   for (int kind = 0; kind < 2000; ++kind)
     for (int i = 0; i < 8; ++i)
       lengths.note(std::to_string(kind), time_ms{i});
--- a/tests/routing/share_plan_test.cpp
+++ b/tests/routing/share_plan_test.cpp
@@ -59,7 +59,7 @@
       double sum = 0.0;
       for (std::size_t h = 0; h < hosts; ++h) {
         const share_plan plan = plan_of(reports, h, slots, 900.0);
-        RC_ASSERT(plan.slots >= share_policy{}.floor_slots);
+        RC_ASSERT(plan.slots >= share_policy{}.min_slots);
         sum += plan.slots;
       }
       RC_ASSERT(sum <= slots + 1e-6);
--- a/tests/routing/share_relay_test.cpp
+++ b/tests/routing/share_relay_test.cpp
@@ -97,7 +97,7 @@
   double loss{0.0};
   bool repeat_all{false};
   std::size_t messages{0};
-  std::size_t most_teams_told{0};
+  std::size_t max_teams_named{0};
 
  private:
   [[nodiscard]] share_report own(std::size_t host) const {
@@ -130,7 +130,7 @@
       ++messages;
       for (const share_report& report : one.reports)
         if (report.scope == share_scope::fleet)
-          most_teams_told = std::max(most_teams_told, report.teams.size());
+          max_teams_named = std::max(max_teams_named, report.teams.size());
       if (random_.unit() < loss)
         continue;
       for (int i = 0; i < (repeat_all ? 2 : 1); ++i)
@@ -203,7 +203,7 @@
     relay_fleet fleet{12, 40};
     fleet.run(4);
     CHECK(fleet.credits(fleet.all(), 240.0) == doctest::Approx(240.0).epsilon(0.001));
-    CHECK(fleet.most_teams_told == 3);
+    CHECK(fleet.max_teams_named == 3);
   }
 
   TEST_CASE("hosts keep their shares when their speaker dies, and get new answers") {
--- a/tests/routing/stall_policy_test.cpp
+++ b/tests/routing/stall_policy_test.cpp
@@ -44,7 +44,7 @@
   TEST_CASE("the attempt fails after repeated silent connections") {
     stall_watch watch{stall_stage::between_bytes, time_ms{0}, false, {}, 0};
     time_ms now{0};
-    for (std::uint32_t i = 0; i < policy.most_resumes; ++i) {
+    for (std::uint32_t i = 0; i < policy.max_resumes; ++i) {
       now += 5_s;
       CHECK(check_stall(watch, policy, probe_result::pending, now).step == stall_step::probe);
       CHECK(check_stall(watch, policy, probe_result::answered, now).step == stall_step::reconnect);
--- a/tests/routing/stop_policy_test.cpp
+++ b/tests/routing/stop_policy_test.cpp
@@ -54,11 +54,11 @@
   rc::check([] {
     const stop_bounds any{time_ms{*rc::gen::inRange(0, 700000)}, time_ms{0},
                           time_ms{*rc::gen::inRange(0, 5000)}};
-    const exit_spans spans = spans_of_exit(any, cut_after(any));
+    const exit_timeouts spans = exit_timeouts_for(any, cut_after(any));
     RC_ASSERT(cut_after(any) + spans.answers + spans.exchange + spans.lines <= any.grace);
     RC_ASSERT(spans.answers >= time_ms{0} && spans.lines >= time_ms{0});
   });
-  const exit_spans usual = spans_of_exit(bounds, cut_after(bounds));
+  const exit_timeouts usual = exit_timeouts_for(bounds, cut_after(bounds));
   CHECK(usual.answers == time_ms{100});
   CHECK(usual.exchange == time_ms{250});
   CHECK(usual.lines == time_ms{100});
@@ -71,18 +71,18 @@
     const auto ms = [](int most) { return time_ms{*rc::gen::inRange(0, most)}; };
     const stop_bounds any{ms(20000), time_ms{0}, ms(5000)};
     const time_ms since = ms(25000);
-    const exit_spans spans = spans_of_exit(any, since);
+    const exit_timeouts spans = exit_timeouts_for(any, since);
     const time_ms all = spans.answers + spans.exchange + spans.lines;
     RC_ASSERT(since + all <= std::max(any.grace, since));
     RC_ASSERT(all <= any.kept_for_exit);
     RC_ASSERT(spans.answers >= time_ms{0} && spans.exchange >= time_ms{0} &&
               spans.lines >= time_ms{0});
   });
-  const exit_spans late = spans_of_exit(bounds, time_ms{7900});
+  const exit_timeouts late = exit_timeouts_for(bounds, time_ms{7900});
   CHECK(late.answers == time_ms{20});
   CHECK(late.exchange == time_ms{50});
   CHECK(late.lines == time_ms{20});
-  const exit_spans early = spans_of_exit(bounds, time_ms{2600});
+  const exit_timeouts early = exit_timeouts_for(bounds, time_ms{2600});
   CHECK(early.answers == time_ms{100});
 }
 
--- a/tests/routing/wire_test.cpp
+++ b/tests/routing/wire_test.cpp
@@ -93,7 +93,7 @@
     share_report report;
     report.pool = pool_id{"lm"};
     report.from = {host_id{"hf-a-1"}, ~std::uint64_t{0}};
-    for (std::size_t i = 0; i < share_policy{}.most_teams; ++i)
+    for (std::size_t i = 0; i < share_policy{}.max_teams; ++i)
       report.teams.push_back({team_id{std::string(24, 't') + std::to_string(i)}, 1e5, 1e5});
     message.shares.push_back(report);
     CHECK(to_wire(message).ByteSizeLong() < 4096);
