--- a/src/routing/impl/choose_endpoint.hpp
+++ b/src/routing/impl/choose_endpoint.hpp
@@ -27,11 +27,12 @@
   /// Longest expected wait at the endpoint, in ms, for which a class is sent there. With a longer
   /// one it stays in this host's queue, where it can still be reordered.
   std::array<double, work_class_count> max_queue_ms{400.0, 800.0, 1500.0};
-  double reserved_places_beyond_share{
-      6.0}; ///< places that a team beyond its share leaves at an endpoint
-  double reserved_credit_beyond_share{
-      0.2};                    ///< fraction of this host's credit that such a team leaves
-  double full_reserve_at{0.3}; ///< pool fraction used by teams within share for a full reserve
+  /// Places that a team beyond its share leaves free at an endpoint.
+  double reserved_places_beyond_share{6.0};
+  /// Fraction of this host's credit that such a team leaves unused.
+  double reserved_credit_beyond_share{0.2};
+  /// Fraction of the pool used by teams within their share from which the reserves apply in full.
+  double full_reserve_at{0.3};
 };
 
 /// \returns whether the next request may be sent to the chosen endpoint now: into a place that is
--- a/src/routing/impl/endpoint_index.hpp
+++ b/src/routing/impl/endpoint_index.hpp
@@ -20,7 +20,8 @@
     std::vector<std::uint32_t> members;
 
     /// \returns the member that consistent hashing assigns to `key`; every host with the same
-    /// members gets the same one \pre `members` is not empty
+    /// members gets the same one
+    /// \pre `members` is not empty
     [[nodiscard]] std::uint32_t home_of(std::uint64_t key) const noexcept;
 
    private:
--- a/src/routing/impl/endpoint_table.hpp
+++ b/src/routing/impl/endpoint_table.hpp
@@ -13,11 +13,10 @@
 
 /// \brief Parameters of endpoint choice, load estimates and use reports.
 struct choice_policy {
-  std::uint32_t random_candidates{2}; ///< random candidates in this data centre
-  std::uint32_t long_prompt_candidates{
-      4}; ///< random candidates in this data centre for long prompts
+  std::uint32_t random_candidates{2};      ///< drawn from this data centre
+  std::uint32_t long_prompt_candidates{4}; ///< the same for long prompts
   std::uint32_t long_prompt_tokens{4096};
-  std::uint32_t remote_candidates{1};     ///< random candidates in other data centres
+  std::uint32_t remote_candidates{1};     ///< drawn from other data centres
   std::uint32_t compare_all_up_to{6};     ///< group size up to which all are candidates
   std::uint32_t look_for_room_up_to{32};  ///< the same with `route_need::only_with_room`
   double default_distance_ms{2.0};        ///< one-way latency to a data centre if unknown
--- a/src/routing/impl/engine_order.hpp
+++ b/src/routing/impl/engine_order.hpp
@@ -103,7 +103,8 @@
                                                      std::uint32_t min_replicas);
 
 /// \returns number of engines, out of `engines`, for prefill; at least one for each role, or 0 if
-/// the roles cannot be separated \param read, written  prompt and output tokens demanded per second
+/// the roles cannot be separated
+/// \param read, written  prompt and output tokens demanded per second
 /// \param read_rate, write_rate  tokens per second of one engine
 [[nodiscard]] std::uint32_t prefill_goal(std::uint32_t engines, double read, double written,
                                          double read_rate, double write_rate);
--- a/src/routing/impl/order_planner.cpp
+++ b/src/routing/impl/order_planner.cpp
@@ -191,12 +191,13 @@
 void order_planner::make_room(const pool_goal& goal, std::vector<engine_state>& engines,
                               const loadable& item, time_ms now) {
   if (!item.adapter.empty()) {
-    withheld_.push_back("load of " + to_string(item) + ": no engine has its model and is free");
+    withheld_.push_back("load of " + to_string(item) + ": no idle engine holds its model");
     return;
   }
   if (!goal.honours_fencing) {
-    withheld_.push_back("unload for " + to_string(item) +
-                        ": the engines ignore fencing numbers, and a late unload would do harm");
+    withheld_.push_back(
+        "unload for " + to_string(item) +
+        ": the engines ignore fencing numbers, so an outdated unload would be executed");
     return;
   }
   // One engine at a time: an engine whose model is being replaced serves neither model, and a
@@ -218,7 +219,7 @@
       issue(engine,
             order_for(order_action::unload, held,
                       to_string(held) + " has " + ratio(have, wanted) + " wanted replicas and " +
-                          to_string(item) + " needs the room"),
+                          to_string(item) + " needs a place"),
             now);
       return;
     }
@@ -247,7 +248,7 @@
   for (const shortfall& missing : short_of) {
     const loadable& item = missing.goal->item;
     if (open_orders() >= policy_.max_open) {
-      withheld_.push_back("load of " + to_string(item) + ": enough orders are under way");
+      withheld_.push_back("load of " + to_string(item) + ": too many orders are in flight");
       return;
     }
     if (now < store_backoff_until_ || store_.wait_for(1.0, now) > time_ms{0}) {
@@ -319,7 +320,7 @@
       if (!goal.honours_fencing) {
         withheld_.push_back(
             "unload of " + to_string(held) + " at " + engine.view->endpoint.str() +
-            ": the engine ignores fencing numbers, and a late unload would do harm");
+            ": the engine ignores fencing numbers, so an outdated unload would be executed");
         continue;
       }
       issue(engine,
@@ -342,8 +343,8 @@
   if (have == goal.prefill_engines)
     return;
   if (!goal.honours_fencing) {
-    withheld_.push_back("change of role: the engines ignore fencing numbers, and a late one would "
-                        "do harm");
+    withheld_.push_back("change of role: the engines ignore fencing numbers, so an outdated one "
+                        "would be executed");
     return;
   }
   // One at a time: each change takes an engine out of its current role.
@@ -395,7 +396,7 @@
     const bool asked = told.order != 0 && now - told.sent < policy_.repeat_after;
     if (!engine.usable || told.confirmed || asked)
       continue;
-    engine_order order = role_order(engine.role, "tells it the number of the new decider");
+    engine_order order = role_order(engine.role, "announces the new decider's fencing number");
     order.id = epoch_ * orders_per_epoch + ++next_order_;
     order.fencing = epoch_;
     order.endpoint = engine.endpoint;
--- a/src/routing/impl/order_planner.hpp
+++ b/src/routing/impl/order_planner.hpp
@@ -16,9 +16,9 @@
   double load_burst{2.0};
   std::uint32_t max_open{4};  ///< orders in flight at once
   time_ms repeat_after{5000}; ///< delay until an unanswered order is resent
-  time_ms report_timeout{
-      30000};                 ///< an order answered `done` is resent if no report shows it by then
-  time_ms retry_after{30000}; ///< backoff after a failed order
+  /// An order answered `done` is resent if no report shows its effect by then.
+  time_ms report_timeout{30000};
+  time_ms retry_after{30000};      ///< backoff after a failed order
   time_ms lower_goal_delay{20000}; ///< time that a lower goal must persist before it applies
   std::size_t records_kept{256};
 };
@@ -116,7 +116,7 @@
   time_ms store_backoff_until_;
   std::map<loadable, item_state> items_;
   std::map<endpoint_id, announcement> announced_;
-  std::map<std::uint64_t, endpoint_id> unanswered_announcements_; ///< unanswered
+  std::map<std::uint64_t, endpoint_id> unanswered_announcements_; ///< by order id
   std::deque<order_record> records_;
   std::vector<engine_order> due_;
   std::vector<std::string> withheld_;
--- a/src/routing/impl/pool_claims.hpp
+++ b/src/routing/impl/pool_claims.hpp
@@ -53,7 +53,8 @@
 
   /// \returns the claim that `self` should append now, or nothing unless the pool's decider is gone
   /// and `self` is first in rendezvous order. Hosts with different views may claim at once; the
-  /// first claim in the log wins. \param live  incarnations that are alive in this host's view
+  /// first claim in the log wins.
+  /// \param live  incarnations that are alive in this host's view
   [[nodiscard]] std::optional<pool_claim> due_claim(const pool_id& pool, const incarnation& self,
                                                     std::span<const incarnation> live) const;
 
--- a/src/routing/impl/share_plan.hpp
+++ b/src/routing/impl/share_plan.hpp
@@ -92,12 +92,12 @@
 /// \brief One team's part in the division of a pool.
 struct team_grant {
   double granted{}; ///< tokens per second
-  bool beyond{};    ///< the team's demand exceeds its share by `share_policy::flood_from`
+  bool beyond{};    ///< demand is at least `share_policy::flood_from` times the share
 };
 
 /// \brief Divides a pool's rate over the teams of `all` by weighted max-min fairness: no team gets
-/// more than its demand, and the remainder goes to those that demand more. \returns a grant for
-/// each of `all.teams`, in their order
+/// more than its demand, and the remainder goes to those that demand more.
+/// \returns a grant for each of `all.teams`, in their order
 [[nodiscard]] std::vector<team_grant> divide_pool(const share_report& all,
                                                   const share_policy& policy);
 
