--- a/src/routing/impl/order_planner.cpp
+++ b/src/routing/impl/order_planner.cpp
@@ -392,16 +392,16 @@
   if (epoch_ == 0)
     return orders;
   for (const engine_view& engine : engines) {
-    announcement& told = announced_[engine.endpoint];
-    const bool asked = told.order != 0 && now - told.sent < policy_.repeat_after;
-    if (!engine.usable || told.confirmed || asked)
+    announcement& state = announced_[engine.endpoint];
+    const bool pending = state.order != 0 && now - state.sent < policy_.repeat_after;
+    if (!engine.usable || state.confirmed || pending)
       continue;
     engine_order order = role_order(engine.role, "announces the new decider's fencing number");
     order.id = epoch_ * orders_per_epoch + ++next_order_;
     order.fencing = epoch_;
     order.endpoint = engine.endpoint;
-    told.order = order.id;
-    told.sent = now;
+    state.order = order.id;
+    state.sent = now;
     unanswered_announcements_[order.id] = engine.endpoint;
     orders.push_back(std::move(order));
   }
@@ -410,10 +410,10 @@
 
 void order_planner::note_answer(std::uint64_t order, order_answer answer, time_ms retry_after,
                                 time_ms now) {
-  if (const auto introduced = unanswered_announcements_.find(order);
-      introduced != unanswered_announcements_.end()) {
-    announced_[introduced->second].confirmed = answer == order_answer::done;
-    unanswered_announcements_.erase(introduced);
+  if (const auto announced = unanswered_announcements_.find(order);
+      announced != unanswered_announcements_.end()) {
+    announced_[announced->second].confirmed = answer == order_answer::done;
+    unanswered_announcements_.erase(announced);
     if (answer == order_answer::newer_epoch)
       set_epoch(0);
     return;
--- a/src/routing/impl/share_relay.cpp
+++ b/src/routing/impl/share_relay.cpp
@@ -197,9 +197,9 @@
   for (const auto& [data_centre, speaker] : speakers.of)
     if (data_centre != here_)
       queue(speaker, here);
-  std::vector<share_report> received = remote_reports(pool, now);
-  received.insert(received.end(), near.begin(), near.end());
-  share_report all = merge_reports(received, std::numeric_limits<std::size_t>::max());
+  std::vector<share_report> reports = remote_reports(pool, now);
+  reports.insert(reports.end(), near.begin(), near.end());
+  share_report all = merge_reports(reports, std::numeric_limits<std::size_t>::max());
   all.pool = pool;
   all.from = self_;
   all.sequence = here.sequence;
@@ -210,23 +210,23 @@
 }
 
 std::vector<share_report> share_relay::local_reports(const pool_id& pool, time_ms now) const {
-  std::vector<share_report> received;
+  std::vector<share_report> reports;
   if (const auto known = from_hosts_.find(pool); known != from_hosts_.end())
     for (const auto& [host, one] : known->second)
       if (is_recent(one, now))
-        received.push_back(one.report);
+        reports.push_back(one.report);
   if (const auto own = mean_.find(pool); own != mean_.end())
-    received.push_back(own->second);
-  return received;
+    reports.push_back(own->second);
+  return reports;
 }
 
 std::vector<share_report> share_relay::remote_reports(const pool_id& pool, time_ms now) const {
-  std::vector<share_report> received;
+  std::vector<share_report> reports;
   if (const auto known = from_centres_.find(pool); known != from_centres_.end())
     for (const auto& [data_centre, one] : known->second)
       if (is_recent(one, now))
-        received.push_back(one.report);
-  return received;
+        reports.push_back(one.report);
+  return reports;
 }
 
 // Adds the teams whose requests began here after the last report. They are not in the answer, and
@@ -245,10 +245,10 @@
           sum.teams.push_back(team);
     return sum;
   }
-  std::vector<share_report> received = remote_reports(pool, now);
+  std::vector<share_report> reports = remote_reports(pool, now);
   const std::vector<share_report> near = local_reports(pool, now);
-  received.insert(received.end(), near.begin(), near.end());
-  return merge_reports(received, policy_.max_teams);
+  reports.insert(reports.end(), near.begin(), near.end());
+  return merge_reports(reports, policy_.max_teams);
 }
 
 void share_relay::queue(const incarnation& to, share_report report) {
--- a/src/routing/impl/share_table.cpp
+++ b/src/routing/impl/share_table.cpp
@@ -83,18 +83,18 @@
   if (own != received_.end())
     result.own = own->second.report;
 
-  absl::flat_hash_map<team_id, double> average;
+  absl::flat_hash_map<team_id, double> averages;
   double rate = result.all.others.served;
   for (team_demand& team : result.all.teams) {
     const auto known = average_service_.find(team.team);
     double served = team.served;
     if (known != average_service_.end())
       served = known->second + smoothing * (team.served - known->second);
-    average[team.team] = served;
+    averages[team.team] = served;
     team.served = served;
     rate += served;
   }
-  average_service_ = std::move(average);
+  average_service_ = std::move(averages);
   result.pool_rate = rate;
   return result;
 }
