--- a/src/routing/impl/order_planner.cpp
+++ b/src/routing/impl/order_planner.cpp
@@ -433,7 +433,7 @@
     record->state = order_state::failed;
     break;
   case order_answer::rate_limited:
-    // The order did not reach the engine, so this is no failure of the engine.
+    // The order was not sent, so this is no failure of the engine.
     record->state = order_state::abandoned;
     store_backoff_until_ = std::max(store_backoff_until_, now + retry_after);
     break;
