--- a/src/routing/impl/order_planner.cpp
+++ b/src/routing/impl/order_planner.cpp
@@ -78,10 +78,10 @@
     return;
   epoch_ = epoch;
   next_order_ = 0;
-  introduced_.clear();
-  introductions_.clear();
-  // Orders of an epoch that is over are not repeated: their number would be refused, or worse,
-  // taken by an engine that does not check it.
+  announced_.clear();
+  unanswered_announcements_.clear();
+  // Orders of a former epoch are not resent: an engine would refuse their fencing number or, if it
+  // does not check it, execute an outdated order.
   for (order_record& record : records_)
     if (record.state == order_state::sent)
       record.state = order_state::abandoned;
@@ -104,7 +104,7 @@
       continue;
     const auto engine = std::ranges::find(engines, record.order.endpoint, &engine_view::endpoint);
     const bool gone = engine == engines.end() || !engine->usable;
-    // A repeat of a load that is no longer listed would bring back what is not wanted any more.
+    // Resending a load of an item that is no longer listed would load what is not wanted any more.
     const bool unwanted =
         record.order.action == order_action::load && !listed(goal, record.order.item);
     if (!gone && shows_done(*engine, record.order))
@@ -136,8 +136,8 @@
       engine->held.push_back(record.order.item);
     if (record.order.action == order_action::unload)
       std::erase(engine->held, record.order.item);
-    const time_ms patience = record.answered ? policy_.shown_within : policy_.repeat_after;
-    if (now - record.last_sent >= patience) {
+    const time_ms timeout = record.answered ? policy_.report_timeout : policy_.repeat_after;
+    if (now - record.last_sent >= timeout) {
       record.last_sent = now;
       due_.push_back(record.order);
     }
@@ -145,9 +145,9 @@
   return states;
 }
 
-// A higher goal holds at once; a lower one only after it has lasted, so that a short lull does not
-// throw away what must then be fetched again.
-void order_planner::settle_goals(const pool_goal& goal, time_ms now) {
+// A higher goal applies at once. A lower one applies only after it has persisted, so that a short
+// drop in demand does not unload models that have to be fetched again.
+void order_planner::update_goals(const pool_goal& goal, time_ms now) {
   for (const item_goal& g : goal.items) {
     item_state& state = items_[g.item];
     if (g.replicas >= state.wanted) {
@@ -158,7 +158,7 @@
       state.lower = g.replicas;
       state.lower_since = now;
     }
-    if (now - state.lower_since >= policy_.settle)
+    if (now - state.lower_since >= policy_.lower_goal_delay)
       state.wanted = state.lower;
   }
   std::erase_if(items_, [&](const auto& known) { return !listed(goal, known.first); });
@@ -173,7 +173,7 @@
   });
 }
 
-void order_planner::give(engine_state& engine, engine_order order, time_ms now) {
+void order_planner::issue(engine_state& engine, engine_order order, time_ms now) {
   order.id = epoch_ * orders_per_epoch + ++next_order_;
   order.fencing = epoch_;
   order.endpoint = engine.view->endpoint;
@@ -191,16 +191,17 @@
 void order_planner::make_room(const pool_goal& goal, std::vector<engine_state>& engines,
                               const loadable& item, time_ms now) {
   if (!item.adapter.empty()) {
-    withheld_.push_back("load of " + to_string(item) + ": no engine has its model and is free");
+    withheld_.push_back("load of " + to_string(item) + ": no idle engine holds its model");
     return;
   }
   if (!goal.honours_fencing) {
-    withheld_.push_back("unload for " + to_string(item) +
-                        ": the engines ignore fencing numbers, and a late unload would do harm");
+    withheld_.push_back(
+        "unload for " + to_string(item) +
+        ": the engines ignore fencing numbers, so an outdated unload would be executed");
     return;
   }
-  // One engine at a time: an engine whose model is being replaced serves neither, and a change of
-  // version on engines with one place each would otherwise stop the whole pool.
+  // One engine at a time: an engine whose model is being replaced serves neither model, and a
+  // version change on engines with one place each would otherwise stop the whole pool.
   if (open_orders(order_action::unload) + open_orders(order_action::load) > 0) {
     withheld_.push_back("load of " + to_string(item) + ": another engine is being changed");
     return;
@@ -215,18 +216,19 @@
       if (!held.adapter.empty() || have <= wanted ||
           !may_order(engine.view->endpoint, order_action::unload, held, now))
         continue;
-      give(engine,
-           order_for(order_action::unload, held,
-                     to_string(held) + " has " + ratio(have, wanted) + " wanted replicas and " +
-                         to_string(item) + " needs the room"),
-           now);
+      issue(engine,
+            order_for(order_action::unload, held,
+                      to_string(held) + " has " + ratio(have, wanted) + " wanted replicas and " +
+                          to_string(item) + " needs a place"),
+            now);
       return;
     }
   }
   withheld_.push_back("load of " + to_string(item) + ": no engine has room and nothing is surplus");
 }
 
-void order_planner::fill(const pool_goal& goal, std::vector<engine_state>& engines, time_ms now) {
+void order_planner::plan_loads(const pool_goal& goal, std::vector<engine_state>& engines,
+                               time_ms now) {
   struct shortfall {
     const item_goal* goal;
     std::uint32_t have;
@@ -245,11 +247,11 @@
 
   for (const shortfall& missing : short_of) {
     const loadable& item = missing.goal->item;
-    if (open_orders() >= policy_.most_open) {
-      withheld_.push_back("load of " + to_string(item) + ": enough orders are under way");
+    if (open_orders() >= policy_.max_open) {
+      withheld_.push_back("load of " + to_string(item) + ": too many orders are in flight");
       return;
     }
-    if (now < store_closed_until_ || store_.wait_for(1.0, now) > time_ms{0}) {
+    if (now < store_backoff_until_ || store_.wait_for(1.0, now) > time_ms{0}) {
       withheld_.push_back("load of " + to_string(item) + ": waits for the weight store");
       return;
     }
@@ -272,18 +274,18 @@
       continue;
     }
     store_.take(1.0, now);
-    give(*best,
-         order_for(order_action::load, item,
-                   to_string(item) + " has " + ratio(missing.have, missing.wanted) +
-                       " wanted replicas; " + best->view->data_centre.str() + " has " +
-                       std::to_string(holders_in(engines, item, best->view->data_centre)) +
-                       ", and the engine is the least loaded with room"),
-         now);
+    issue(*best,
+          order_for(order_action::load, item,
+                    to_string(item) + " has " + ratio(missing.have, missing.wanted) +
+                        " wanted replicas; " + best->view->data_centre.str() + " has " +
+                        std::to_string(holders_in(engines, item, best->view->data_centre)) +
+                        ", and the engine is the least loaded with room"),
+          now);
   }
 }
 
-// An old version goes on answering until its engine has a listed one, or enough others have it;
-// otherwise a change of version would leave the model's requests without an engine for a while.
+// An old version keeps serving until its engine holds a listed one or enough other engines do;
+// otherwise a version change would leave the model's requests without an engine for a while.
 bool order_planner::awaits_other_version(const pool_goal& goal,
                                          const std::vector<engine_state>& engines,
                                          const engine_state& engine, const loadable& old) const {
@@ -304,11 +306,12 @@
   return old.adapter.empty() && short_of_one;
 }
 
-// What no settings list any more goes; a mere surplus of a listed item stays until room is needed.
-void order_planner::drop_surplus(const pool_goal& goal, std::vector<engine_state>& engines,
-                                 time_ms now) {
+// Unloads items that the settings no longer list. Surplus replicas of a listed item stay until room
+// is needed.
+void order_planner::unload_unlisted(const pool_goal& goal, std::vector<engine_state>& engines,
+                                    time_ms now) {
   for (engine_state& engine : engines) {
-    if (engine.busy || open_orders() >= policy_.most_open)
+    if (engine.busy || open_orders() >= policy_.max_open)
       continue;
     for (const loadable& held : engine.view->held) {
       if (listed(goal, held) || awaits_other_version(goal, engines, engine, held) ||
@@ -317,11 +320,12 @@
       if (!goal.honours_fencing) {
         withheld_.push_back(
             "unload of " + to_string(held) + " at " + engine.view->endpoint.str() +
-            ": the engine ignores fencing numbers, and a late unload would do harm");
+            ": the engine ignores fencing numbers, so an outdated unload would be executed");
         continue;
       }
-      give(engine,
-           order_for(order_action::unload, held, to_string(held) + " is not in the settings"), now);
+      issue(engine,
+            order_for(order_action::unload, held, to_string(held) + " is not in the settings"),
+            now);
       break;
     }
   }
@@ -329,7 +333,7 @@
 
 void order_planner::set_roles(const pool_goal& goal, std::vector<engine_state>& engines,
                               time_ms now) {
-  if (goal.prefill_engines == 0 || open_orders() >= policy_.most_open)
+  if (goal.prefill_engines == 0 || open_orders() >= policy_.max_open)
     return;
   const auto count = [&](endpoint_role role) {
     return std::ranges::count_if(
@@ -339,11 +343,11 @@
   if (have == goal.prefill_engines)
     return;
   if (!goal.honours_fencing) {
-    withheld_.push_back("change of role: the engines ignore fencing numbers, and a late one would "
-                        "do harm");
+    withheld_.push_back("change of role: the engines ignore fencing numbers, so an outdated one "
+                        "would be executed");
     return;
   }
-  // One at a time: each change takes an engine out of what it does now.
+  // One at a time: each change takes an engine out of its current role.
   const bool open = std::ranges::any_of(records_, [](const order_record& record) {
     return record.state == order_state::sent && record.order.action == order_action::role;
   });
@@ -358,10 +362,10 @@
       best = &engine;
   if (best == nullptr)
     return;
-  give(*best,
-       role_order(wanted, ratio(have, goal.prefill_engines) +
-                              " wanted engines read prompts; this one is the least loaded"),
-       now);
+  issue(*best,
+        role_order(wanted, ratio(have, goal.prefill_engines) +
+                               " wanted engines read prompts; this one is the least loaded"),
+        now);
 }
 
 std::vector<engine_order> order_planner::plan(const pool_goal& goal,
@@ -372,33 +376,33 @@
     return {};
   close_finished(goal, engines, now);
   std::vector<engine_state> states = states_of(engines, now);
-  settle_goals(goal, now);
-  fill(goal, states, now);
-  drop_surplus(goal, states, now);
+  update_goals(goal, now);
+  plan_loads(goal, states, now);
+  unload_unlisted(goal, states, now);
   set_roles(goal, states, now);
   return std::exchange(due_, {});
 }
 
-// The former decider may be paused with an order in its hands. An engine that has heard nothing of
-// this epoch would carry it out whenever it arrives; one that has will refuse it. The order that
-// tells it asks for the role that it has.
-std::vector<engine_order> order_planner::introductions(std::span<const engine_view> engines,
-                                                       time_ms now) {
+// The former decider may be paused while it sends an order. An engine that does not know this epoch
+// would execute that order whenever it arrives; one that knows it refuses. The announcing order
+// requests the role that the engine already has.
+std::vector<engine_order> order_planner::epoch_announcements(std::span<const engine_view> engines,
+                                                             time_ms now) {
   std::vector<engine_order> orders;
   if (epoch_ == 0)
     return orders;
   for (const engine_view& engine : engines) {
-    introduction& told = introduced_[engine.endpoint];
-    const bool asked = told.order != 0 && now - told.sent < policy_.repeat_after;
-    if (!engine.usable || told.heard || asked)
+    announcement& state = announced_[engine.endpoint];
+    const bool pending = state.order != 0 && now - state.sent < policy_.repeat_after;
+    if (!engine.usable || state.confirmed || pending)
       continue;
-    engine_order order = role_order(engine.role, "tells it the number of the new decider");
+    engine_order order = role_order(engine.role, "announces the new decider's fencing number");
     order.id = epoch_ * orders_per_epoch + ++next_order_;
     order.fencing = epoch_;
     order.endpoint = engine.endpoint;
-    told.order = order.id;
-    told.sent = now;
-    introductions_[order.id] = engine.endpoint;
+    state.order = order.id;
+    state.sent = now;
+    unanswered_announcements_[order.id] = engine.endpoint;
     orders.push_back(std::move(order));
   }
   return orders;
@@ -406,9 +410,10 @@
 
 void order_planner::note_answer(std::uint64_t order, order_answer answer, time_ms retry_after,
                                 time_ms now) {
-  if (const auto introduced = introductions_.find(order); introduced != introductions_.end()) {
-    introduced_[introduced->second].heard = answer == order_answer::done;
-    introductions_.erase(introduced);
+  if (const auto announced = unanswered_announcements_.find(order);
+      announced != unanswered_announcements_.end()) {
+    announced_[announced->second].confirmed = answer == order_answer::done;
+    unanswered_announcements_.erase(announced);
     if (answer == order_answer::newer_epoch)
       set_epoch(0);
     return;
@@ -419,8 +424,8 @@
     return;
   switch (answer) {
   case order_answer::done:
-    // Open until the engine's report shows it: its report lags, and planning from the old one would
-    // order the same again.
+    // The order stays in flight until the engine's report shows it: the report lags, and planning
+    // from the old one would repeat the order.
     record->last_sent = now;
     record->answered = true;
     return;
@@ -428,9 +433,9 @@
     record->state = order_state::failed;
     break;
   case order_answer::rate_limited:
-    // It was not sent, so it says nothing against this engine.
+    // The order was not sent, so this is no failure of the engine.
     record->state = order_state::abandoned;
-    store_closed_until_ = std::max(store_closed_until_, now + retry_after);
+    store_backoff_until_ = std::max(store_backoff_until_, now + retry_after);
     break;
   case order_answer::newer_epoch:
     record->state = order_state::fenced;
--- a/tests/routing/wire_test.cpp
+++ b/tests/routing/wire_test.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 TEST_SUITE("routing messages") {
-  TEST_CASE("a message comes back from its bytes as it was") {
+  TEST_CASE("a message is unchanged after encoding and decoding") {
     const routing_message message = sample();
     wire::routing_message parsed;
     CHECK(parsed.ParseFromString(to_wire(message).SerializeAsString()));
@@ -64,7 +64,7 @@
     CHECK(claim_back.replaces == 17);
   }
 
-  TEST_CASE("what no host sends is rejected by its field") {
+  TEST_CASE("a message with an invalid field is rejected") {
     const auto rejected = [](auto&& damage) {
       wire::routing_message message = to_wire(sample());
       damage(message);
@@ -88,12 +88,12 @@
     });
   }
 
-  TEST_CASE("a report of the most teams stays under four kilobytes") {
+  TEST_CASE("a report of the most teams is smaller than four kilobytes") {
     routing_message message;
     share_report report;
     report.pool = pool_id{"lm"};
     report.from = {host_id{"hf-a-1"}, ~std::uint64_t{0}};
-    for (std::size_t i = 0; i < share_policy{}.most_teams; ++i)
+    for (std::size_t i = 0; i < share_policy{}.max_teams; ++i)
       report.teams.push_back({team_id{std::string(24, 't') + std::to_string(i)}, 1e5, 1e5});
     message.shares.push_back(report);
     CHECK(to_wire(message).ByteSizeLong() < 4096);
