--- a/src/relay/impl/endpoint_directory.hpp
+++ b/src/relay/impl/endpoint_directory.hpp
@@ -68,7 +68,7 @@
   /// the listener is called without a lock held.
   void on_restart(restart_listener listener) { on_restart_ = std::move(listener); }
 
-  /// \brief Adds or updates an endpoint. Entries must be put in the order of the endpoint list.
+  /// \brief Adds or updates an endpoint. Entries must be passed in the order of the endpoint list.
   void put(endpoint_entry entry);
   /// \brief Removes an endpoint; requests that were sent to it go on.
   void remove(const endpoint_id& id);
@@ -81,6 +81,8 @@
   void note_load(const placement& place, const load_report& load);
   /// \brief Records that the endpoint is leaving, or that another one now has its address.
   void note_leaving(const placement& place);
+  /// \brief Ends a placement and records the result of its send.
+  /// \param started  whether `note_prompt_read` was called
   void release(const placement& place, send_outcome outcome, bool started);
 
   struct probe {
--- a/src/relay/impl/peer_channel.hpp
+++ b/src/relay/impl/peer_channel.hpp
@@ -40,7 +40,7 @@
 };
 
 struct peer_channel_options {
-  /// Time between reads of the host list, and until the first successful read.
+  /// Time between reads of the host list; `first_hosts_interval` until a read has succeeded.
   time_ms hosts_interval{5000};
   time_ms first_hosts_interval{500};
 };
