--- a/tests/membership/virtual_network.hpp
+++ b/tests/membership/virtual_network.hpp
@@ -12,7 +12,8 @@
 
 namespace sedgechute::test {
 
-/// \brief Members in one process over a network that loses, delays and cuts, in virtual time.
+/// \brief Members on a simulated network that loses and delays messages and cuts links, in virtual
+/// time.
 class virtual_network {
  public:
   virtual_network(std::size_t hosts, double loss_share, std::uint64_t seed = 1)
@@ -29,7 +30,7 @@
     return data_centre_id{"dc-" + std::to_string(i % 3)};
   }
 
-  /// \brief Starts a process at place `i` with a new incarnation number.
+  /// \brief Starts a process of host `i` with a new incarnation number.
   void start(std::size_t i) {
     if (members_.size() <= i)
       members_.resize(i + 1);
@@ -37,7 +38,7 @@
     members_[i] = std::make_unique<membership>(incarnation{name(i), number}, data_centre(i),
                                                address(i), membership_options{}, number);
     members_[i]->on_host_list(now, listed_);
-    places_[address(i)] = i;
+    index_by_address_[address(i)] = i;
   }
   void crash(std::size_t i) { members_[i].reset(); }
 
@@ -46,7 +47,8 @@
       run_step();
   }
 
-  /// \returns the time until `condition` holds, or `limit`
+  /// \brief Runs until `condition` holds or `limit` has passed.
+  /// \returns the time that passed
   time_ms run_until(time_ms limit, const std::function<bool()>& condition) {
     const time_ms start = now;
     while (now - start < limit && !condition())
@@ -56,7 +58,7 @@
 
   [[nodiscard]] membership* at(std::size_t i) { return members_[i].get(); }
 
-  /// \returns how many of the running members show `wanted` in their view
+  /// \returns how many other running members show host `i` in their view
   [[nodiscard]] std::size_t seen_by(std::size_t i) {
     std::size_t count = 0;
     for (std::size_t other = 0; other < members_.size(); ++other)
@@ -77,7 +79,7 @@
     return true;
   }
 
-  double loss; ///< share of messages lost
+  double loss; ///< fraction of messages lost
   time_ms now{1000000};
   std::set<std::size_t> paused;
   std::function<bool(std::size_t, std::size_t)> cut = [](auto, auto) { return false; };
@@ -107,7 +109,7 @@
   }
 
   void deliver(in_flight& sent) {
-    const std::size_t to = places_.at(sent.to);
+    const std::size_t to = index_by_address_.at(sent.to);
     if (!members_[to] || cut(sent.from, to) || random_.unit() < loss)
       return;
     if (paused.contains(to))
@@ -126,7 +128,7 @@
   random_source random_;
   std::vector<listed_host> listed_;
   std::vector<std::unique_ptr<membership>> members_;
-  std::map<std::string, std::size_t> places_;
+  std::map<std::string, std::size_t> index_by_address_;
   std::deque<in_flight> network_;
 };
 
