--- a/bench/faults/measured_fleet.hpp
+++ b/bench/faults/measured_fleet.hpp
@@ -14,23 +14,24 @@
   token_count bought{};
 };
 
+/// \brief Size, traffic and ledger options of a fleet.
 struct fleet_shape {
   std::uint32_t hosts{9};
   std::vector<double> data_centre_share; ///< of the traffic
   std::vector<team_demand> teams;
   ledger_options ledger;
-  time_ms round{60}; ///< in which a message or a record arrives
+  time_ms round{60}; ///< time in which a message or a record arrives
 };
 
-/// \brief What one policy did with the requests of a run.
+/// \brief Requests of a run by their outcome under one policy.
 struct request_counts {
   std::uint64_t asked{};
-  std::uint64_t refused_falsely{}; ///< though the team's budget covered them
+  std::uint64_t refused_falsely{}; ///< refused although the team's budget covered them
   std::uint64_t refused{};
 };
 
-/// \brief A fleet of budget hosts under steady traffic, with rounds for messages and log, and
-/// beside it two simple policies for the same requests: equal static shares per host, and a
+/// \brief A fleet of budget hosts under steady traffic, with rounds for messages and log. Compares
+/// it on the same requests with two baseline policies: equal static shares per host, and a central
 /// counter on one host.
 class measured_fleet {
  public:
@@ -40,19 +41,19 @@
   void run(time_ms span);
   /// \brief Runs until the share of the budgets is spent, at most for a span.
   void run_until_spent(double share, time_ms most);
-  /// \brief Cuts a data centre off from the others and the log, or `none` for no cut.
+  /// \brief Disconnects a data centre from the others and the log; `none` ends the partition.
   void cut(std::uint32_t data_centre);
   static constexpr std::uint32_t none = ~std::uint32_t{0};
 
   struct crash_loss {
-    double stranded_share{};  ///< of the budgets that the host held, the worst
-    double without_witness{}; ///< the same if nobody knew what was opened
+    double stranded_share{};  ///< largest written-off share of a budget that the host held
+    double without_witness{}; ///< the same without a witness that knows the opened amount
     time_ms reclaimed_after;
   };
-  /// \brief Kills the host that holds most slices and runs on until its epochs are reclaimed.
+  /// \brief Crashes the host that holds most slices and runs until its epochs are reclaimed.
   crash_loss crash_busiest();
 
-  [[nodiscard]] const request_counts& ours() const noexcept { return ours_; }
+  [[nodiscard]] const request_counts& delegated() const noexcept { return delegated_; }
   [[nodiscard]] const request_counts& static_shares() const noexcept { return static_; }
   [[nodiscard]] const request_counts& central() const noexcept { return central_; }
   [[nodiscard]] std::uint64_t appends() const noexcept { return log_.size(); }
@@ -77,21 +78,21 @@
     time_ms ends;
     bool granted{};
   };
-  /// The naive ledger, and the state of the two simple policies.
-  struct books {
+  /// Expected sums of one team, and its state under the two baseline policies.
+  struct team_tally {
     token_count bought{};
     token_count spent{};
     token_count reserved{};
     std::vector<token_count> static_left; ///< by host
     token_count central_left{};
   };
-  struct on_its_way {
+  struct in_flight_message {
     incarnation from;
     outgoing_message message;
   };
 
   void round();
-  void arrive();
+  void start_requests();
   void end_requests();
   void decide(std::uint32_t host, const budget_decision& decision);
   void collect(std::uint32_t host);
@@ -99,8 +100,8 @@
   [[nodiscard]] bool connected(std::uint32_t a, std::uint32_t b) const;
   [[nodiscard]] std::uint32_t index_of(const incarnation& host) const;
   [[nodiscard]] std::uint32_t draw_host();
-  [[nodiscard]] static bool is_counted(const books& b);
-  void ask_simple_policies(const open_request& r, bool covered);
+  [[nodiscard]] static bool is_counted(const team_tally& b);
+  void count_baselines(const open_request& r, bool covered);
 
   fleet_shape shape_;
   random_source random_;
@@ -108,14 +109,14 @@
   std::uint32_t cut_{none};
   std::vector<fleet_host> hosts_;
   std::vector<team_id> teams_;
-  std::vector<books> books_;
-  std::vector<on_its_way> network_;
+  std::vector<team_tally> tallies_;
+  std::vector<in_flight_message> network_;
   std::vector<ledger_record> appends_;
   std::vector<ledger_record> log_;
   ledger_state reference_;
   std::map<std::pair<std::uint32_t, ticket_number>, open_request> open_;
   std::multimap<time_ms, std::pair<std::uint32_t, ticket_number>> ends_;
-  request_counts ours_;
+  request_counts delegated_;
   request_counts static_;
   request_counts central_;
   std::uint64_t messages_{};
@@ -123,7 +124,7 @@
   std::uint64_t chunk_openings_{};
   std::map<host_id, std::uint32_t> indices_;
   std::uint64_t next_key_{};
-  std::vector<double> due_; ///< requests due by team
+  std::vector<double> due_; ///< fractional requests due, by team
 };
 
 } // namespace sedgechute::ledger
--- a/src/claims/impl/claim_entry.hpp
+++ b/src/claims/impl/claim_client.hpp
@@ -7,14 +7,14 @@
 
 namespace sedgechute {
 
-/// \brief What a host does for the requests that arrived at it: asks the holder, waits a bounded
-/// time, runs, and gives up truthfully.
-class claim_entry {
+/// \brief Obtains claims for the requests that arrived at this host. It asks the shard's holder,
+/// decides within a bounded time, and never refuses a request as `not run` that may have run.
+class claim_client {
  public:
-  claim_entry(incarnation self, data_centre_id data_centre, const claims_options& options,
-              const shard_map& shards, const host_list& hosts,
-              std::vector<addressed_claims_message>& output,
-              std::vector<claim_decision>& decisions);
+  claim_client(incarnation self, data_centre_id data_centre, const claims_options& options,
+               const shard_map& shards, const host_list& hosts,
+               std::vector<addressed_claims_message>& output,
+               std::vector<claim_decision>& decisions);
 
   std::uint64_t begin(time_ms now, const claimed_request& request, bool look_up);
   void progress(time_ms now, std::uint64_t ticket, const endpoint_id& endpoint,
@@ -27,25 +27,25 @@
   void on_replica_put(const incarnation& from, const replica_put& put);
   void on_replica_fetch(const incarnation& from, const replica_fetch& fetch);
   void on_replica_reply(time_ms now, const replica_reply& reply);
-  /// \brief Asks and reports again at once where the shard's holder has changed.
-  /// \param is_blank  the new holder knows nothing of what runs here unless it is told
-  void on_new_epoch(time_ms now, const claim_shard& shard, bool is_blank);
+  /// \brief Repeats requests and reports to the shard's new holder.
+  /// \param lacks_claims  the new holder doesn't know the attempts that run here
+  void on_new_epoch(time_ms now, const claim_shard& shard, bool lacks_claims);
   void tick(time_ms now);
 
-  /// \returns whether nothing is waited for, runs, or is still to be reported
+  /// \returns whether no request is undecided or running and no report is pending
   [[nodiscard]] bool idle() const { return open_.empty() && reporter_.idle(); }
   [[nodiscard]] std::size_t open_requests() const noexcept { return open_.size(); }
   [[nodiscard]] claim_reporter& reporter() noexcept { return reporter_; }
   [[nodiscard]] answer_store& answers() noexcept { return answers_; }
   [[nodiscard]] const answer_store& answers() const noexcept { return answers_; }
-  /// \returns the attempt that runs here under `id`, or null
+  /// \returns the attempt that runs on this host under `id`, or null
   [[nodiscard]] const claim* running(const claim_id& id) const;
 
  private:
   enum class phase {
     asking,   ///< the holder has not decided yet
     fetching, ///< the holder has decided; an earlier attempt's answer or position is being fetched
-    running,  ///< the daemon runs it
+    running,  ///< a decision to proceed was given
   };
 
   struct open_request {
@@ -57,12 +57,12 @@
     bool granted{};
     phase step{phase::asking};
     std::uint64_t epoch{};
-    time_ms deadline; ///< of the present step
+    time_ms deadline; ///< of the current step
     time_ms next_send;
-    time_ms due;                      ///< when this request is looked at next
-    time_ms next_copy;                ///< to the peer, while running
-    retained_answer position;         ///< while running; the found one while fetching
-    std::vector<incarnation> unheard; ///< hosts whose copy is still awaited
+    time_ms due;                       ///< time of the next action, unless running
+    time_ms next_copy;                 ///< to the peer, while running
+    retained_answer position;          ///< while running; while fetching, the best copy found
+    std::vector<incarnation> awaiting; ///< hosts that have not yet replied with their copy
   };
 
   void ask(time_ms now, open_request& request);
@@ -71,7 +71,7 @@
   void on_granted(time_ms now, open_request& request, const claim_reply& reply);
   void on_verdict(time_ms now, open_request& request, const claim_reply& reply);
   void fetch(time_ms now, open_request& request, const std::vector<incarnation>& from);
-  void conclude_fetch(time_ms now, open_request& request);
+  void finish_fetch(time_ms now, open_request& request);
   void start_running(time_ms now, open_request& request);
   void give_up(time_ms now, const open_request& request, error_kind kind);
   void end(time_ms now, const open_request& request, request_state state,
--- a/src/claims/impl/claim_key.cpp
+++ b/src/claims/impl/claim_key.cpp
@@ -18,7 +18,7 @@
   return !text.empty() && result.ec == std::errc{} && result.ptr == end;
 }
 
-// The data centre's name may contain dots, so the numbers are taken off the end.
+// Parses from the end because the name of the data centre may contain dots.
 std::string_view take_last_field(std::string_view& text) {
   const std::size_t dot = text.rfind('.');
   if (dot == std::string_view::npos)
@@ -64,7 +64,7 @@
   if (id.key.starts_with('@') && slash != std::string::npos && slash > 1)
     return {data_centre_id{id.key.substr(1, slash - 1)}, false,
             static_cast<std::uint32_t>(hash % options.shards_per_data_centre)};
-  return {data_centre_id{}, false, static_cast<std::uint32_t>(hash % options.shards_without_home)};
+  return {data_centre_id{}, false, static_cast<std::uint32_t>(hash % options.unpinned_shards)};
 }
 
 std::string shard_name(const claim_shard& shard) {
--- a/src/entry/impl/entry_host.cpp
+++ b/src/entry/impl/entry_host.cpp
@@ -64,9 +64,9 @@
                                                          choice_weights{}, time} {
   const std::uint64_t incarnation = random_source::from_system()();
   const std::string identity = identity_of(settings_);
-  const desk_owner owner{identity, incarnation, machine_time_.moment()};
-  budgets_ = std::make_unique<budget_desk>(owner, prepaid_options{}, account_logs(settings_.store),
-                                           machine_time_, faults_, log);
+  const host_identity owner{identity, incarnation, machine_time_.reading()};
+  budgets_ = std::make_unique<budget_manager>(
+      owner, prepaid_options{}, account_logs(settings_.store), machine_time_, faults_, log);
   endpoints_.on_restart([this](const endpoint_restart& found) { note_restart(found); });
   fleet_ = std::make_unique<fleet_watch>(
       topics_, endpoints_, [this](const config_ptr& config) { take_config(config); },
@@ -86,13 +86,13 @@
       [this](const std::string& host) { return peers_->near(host); }, loan_options{}, time, log);
   // After a loss of power all hosts start at once. If each took tokens before it knew who else is
   // there, their appends would stand in each other's way for a second, and then again to hand back.
-  budgets_->hold_by([this](const std::string& team) {
+  budgets_->set_holder_predicate([this](const std::string& team) {
     return peers_->hosts_known() && holds_tokens_of(account_partition(team, account_partitions),
                                                     peers_->self().name, peers_->near_hosts());
   });
-  peers_->on_hosts([this] { budgets_->review_holding(); });
+  peers_->on_hosts([this] { budgets_->on_holders_changed(); });
   peers_->on(peer_message::token_loan,
-             [this](std::string_view bytes) { return loans_->take(bytes); });
+             [this](std::string_view bytes) { return loans_->handle(bytes); });
   relay_options options;
   prober_ =
       std::make_unique<endpoint_prober>(endpoints_, dialect_, options.connect_timeout, time, log);
@@ -100,11 +100,11 @@
   options.retries.slack = settings_.retry_slack;
   options.retries.window = settings_.retry_window;
   options.stop = settings_.stop;
-  options.most_open = most_open_requests(settings_.processor_share);
-  options.most_preparing = most_preparing(settings_.processor_share);
-  processor_ = std::make_unique<processor_watch>(
-      shedding_options{}, [this] { return relay_->open(); },
-      options.most_open / open_of_a_busy_host, time, log);
+  options.max_open = most_open_requests(settings_.processor_share);
+  options.max_preparing = max_preparing(settings_.processor_share);
+  processor_ = std::make_unique<processor_monitor>(
+      shedding_options{}, [this] { return relay_->open(); }, options.max_open / open_of_a_busy_host,
+      time, log);
   relay_ = std::make_unique<request_relay>(
       request_relay::parts{
           dialect_, endpoints_, *budgets_, time, log, figures_, [this] { return fleet_->config(); },
@@ -131,8 +131,8 @@
     const config_ptr config = fleet_->config();
     return config ? config->limits : caller_limits{};
   };
-  callers_ = std::make_unique<front_door>(*relay_, dialect_, limits, front_door_options{},
-                                          listen_on(settings_.callers), time_, log_);
+  callers_ = std::make_unique<http_frontend>(*relay_, dialect_, limits, http_frontend_options{},
+                                             listen_on(settings_.callers), time_, log_);
   callers_->start();
   log_.write(
       severity::info, "started", {},
@@ -149,7 +149,7 @@
   serve_until_end(stop);
   const std::size_t cut = relay_->open();
   stop.cut();
-  const exit_spans spans = spans_of_exit(settings_.stop, stop.since());
+  const exit_timeouts spans = exit_timeouts_for(settings_.stop, stop.since());
   wait_until([&] { return callers_->busy() == 0; }, spans.answers);
   const bool handed_back = budgets_->finish(spans.exchange);
   log_.write(severity::info, "stopped", {},
@@ -216,7 +216,7 @@
 
 std::string entry_host::budget_page() const {
   std::ostringstream text;
-  for (const auto& [team, figures] : budgets_->figures())
+  for (const auto& [team, figures] : budgets_->totals())
     text << team << " prepaid " << figures.prepaid << " granted " << figures.granted << " used "
          << figures.used << " here " << figures.slack << '\n';
   return text.str();
--- a/src/entry/impl/entry_host.hpp
+++ b/src/entry/impl/entry_host.hpp
@@ -46,15 +46,15 @@
   fleet_topics topics_;
   host_topic hosts_;
   endpoint_directory endpoints_;
-  std::unique_ptr<budget_desk> budgets_;
+  std::unique_ptr<budget_manager> budgets_;
   std::unique_ptr<fleet_watch> fleet_;
   std::unique_ptr<token_loans> loans_; ///< used by budgets_
   std::unique_ptr<load_exchange> loads_;
   std::unique_ptr<peer_channel> peers_; ///< its thread calls loans_ and loads_
   std::unique_ptr<endpoint_prober> prober_;
   std::unique_ptr<request_relay> relay_;
-  std::unique_ptr<processor_watch> processor_; ///< its thread counts what relay_ serves
-  std::unique_ptr<front_door> callers_;
+  std::unique_ptr<processor_monitor> processor_; ///< its thread counts what relay_ serves
+  std::unique_ptr<http_frontend> callers_;
   std::unique_ptr<status_door> status_;
   std::atomic<bool> stopping_{false};
 };
--- a/src/ledger/impl/budget_host.cpp
+++ b/src/ledger/impl/budget_host.cpp
@@ -30,24 +30,24 @@
   if (offset <= context_.state.offset())
     return;
   context_.state.on_record(offset, record);
-  if (context_.note_read_back(record.id))
-    holder_.on_read_back(record.id);
+  if (context_.confirm_append(record.id))
+    holder_.on_append_confirmed(record.id);
   sync_touched(now);
 }
 
 void budget_host::sync_touched(time_ms now) {
   for (const name_index team : context_.state.touched()) {
-    history_.note(now, team, context_.state.totals(team).spent);
+    history_.record_spent(now, team, context_.state.totals(team).spent);
     witness_.sync(team);
     holder_.sync(now, team);
   }
 }
 
-// Messages carry the incarnation they are meant for. Without it, a host that came back would answer
-// for what its earlier life countersigned or received, of which it knows nothing.
+// Messages carry the incarnation that they are addressed to. Without it, a restarted host would
+// answer for what its earlier incarnation countersigned or received, which it does not know.
 void budget_host::on_message(time_ms now, const incarnation& from, const incarnation& to,
                              const ledger_message& message) {
-  if (to != context_.self() && !context_.mutated(mutation::trust_old_incarnation))
+  if (to != context_.self() && !context_.is_injected(mutation::trust_old_incarnation))
     return;
   dispatch(now, context_.state.intern_host(from), message);
 }
@@ -84,9 +84,9 @@
   context_.resend_appends(now);
 }
 
-// When holder and witness are both lost, nobody knows what was opened, so all of it stays written
-// off. The record ends the epoch for those who choose a holder; any host might append it, and one
-// is chosen to keep appends few.
+// When holder and witness are both lost, the opened amount is unknown, so the whole remainder stays
+// written off. The `abandon` record removes the epoch from the choice of holders. Any host may
+// append it; one is selected by hash to keep appends few.
 void budget_host::abandon_lost(time_ms now) {
   if (now < next_abandon_)
     return;
@@ -94,14 +94,14 @@
   const time_ms wait = context_.options().abandon_wait;
   const auto lost = [&](name_index host) {
     return host == no_name ||
-           (!context_.live.is_live(host) && now - context_.live.missed_since(host) >= wait);
+           (!context_.live.is_live(host) && now - context_.live.absent_since(host) >= wait);
   };
   std::vector<epoch_number> mine;
   context_.state.for_each([&](const delegation& d) {
     if (d.state != delegation_state::live || !lost(d.holder) || !lost(d.witness))
       return;
     const std::uint64_t hash = stable_hash(context_.state.team_name(d.team).str());
-    const name_index place = context_.live.place(hash, no_name, no_name);
+    const name_index place = context_.live.rendezvous_host(hash, no_name, no_name);
     if (place == context_.self_index() || place == no_name)
       mine.push_back(d.epoch);
   });
@@ -170,13 +170,13 @@
   }
 }
 
-// Only now is it known which of this host's records were read: had a grant been taken as read
-// before its team's rows were there, the holder would ask for a second one.
+// Appends are confirmed only after all parts are restored: if a grant were confirmed before its
+// team's rows were restored, the holder would request a second one.
 void budget_host::finish_restore(time_ms now) {
   context_.state.finish_restore();
   for (const ledger_snapshot::recent_id& recent : context_.state.recent())
-    if (context_.note_read_back(recent.id))
-      holder_.on_read_back(recent.id);
+    if (context_.confirm_append(recent.id))
+      holder_.on_append_confirmed(recent.id);
   for (name_index team = 0; team < context_.state.team_count(); ++team) {
     witness_.sync(team);
     holder_.sync(now, team);
--- a/src/ledger/impl/host_context.hpp
+++ b/src/ledger/impl/host_context.hpp
@@ -8,7 +8,7 @@
 
 namespace sedgechute::ledger {
 
-/// \brief One attempt of a request, as its holder knows it.
+/// \brief Identifies an attempt of a request at its holder.
 struct attempt_id {
   name_index entry{no_name};
   ticket_number ticket{};
@@ -16,31 +16,33 @@
   bool operator==(const attempt_id&) const = default;
 };
 
-/// \brief What the three roles of one host share.
+/// \brief State shared by the entry, holder and witness roles of one host.
 class host_context {
  public:
   host_context(incarnation self, const data_centre_id& data_centre, const ledger_options& options,
                std::uint64_t seed);
 
   [[nodiscard]] const ledger_options& options() const noexcept { return options_; }
-  [[nodiscard]] bool mutated(mutation fault) const noexcept { return options_.fault == fault; }
+  [[nodiscard]] bool is_injected(mutation fault) const noexcept { return options_.fault == fault; }
   [[nodiscard]] const incarnation& self() const noexcept { return self_; }
   [[nodiscard]] name_index self_index() const noexcept { return self_index_; }
   [[nodiscard]] name_index data_centre() const noexcept { return data_centre_; }
 
   void send(name_index to, ledger_message body);
-  /// \brief Answers an attempt: by message, or directly when it was made on this host.
+  /// \brief Answers an attempt: by message, or through `local_replies` if it was made on this host.
   void reply(const attempt_id& attempt, reserve_reply answer);
 
-  /// \brief Appends, and repeats until the record is read back.
+  /// \brief Appends a record, and repeats it until it is read back from the log.
   record_id append(time_ms now, record_body body);
-  /// \brief Appends once: for records that a newer one will supersede.
+  /// \brief Appends a record once, for records that a newer one supersedes.
   record_id append_once(record_body body);
-  /// \returns whether the record is one of ours that had not been read back.
-  bool note_read_back(const record_id& id);
-  void forget_append(const record_id& id);
+  /// \brief Stops repeating a record that was read back from the log.
+  /// \returns whether this host was repeating it
+  bool confirm_append(const record_id& id);
+  /// \brief Stops repeating a record that can no longer be applied.
+  void cancel_append(const record_id& id);
   void resend_appends(time_ms now);
-  [[nodiscard]] std::size_t unread_appends() const noexcept { return unread_.size(); }
+  [[nodiscard]] std::size_t unconfirmed_appends() const noexcept { return unconfirmed_.size(); }
 
   ledger_state state;
   live_hosts live;
@@ -49,18 +51,18 @@
   random_source random;
 
  private:
-  struct unread_append {
+  struct unconfirmed_append {
     ledger_record record;
     time_ms sent;
   };
 
-  [[nodiscard]] record_id draw_id();
+  [[nodiscard]] record_id random_id();
 
   ledger_options options_;
   incarnation self_;
   name_index self_index_;
   name_index data_centre_;
-  std::vector<unread_append> unread_;
+  std::vector<unconfirmed_append> unconfirmed_;
 };
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/ledger_checkpoint.cpp
+++ b/src/ledger/impl/ledger_checkpoint.cpp
@@ -1,5 +1,5 @@
-// Checkpoints of the replayed state: a reader that starts after the oldest records are gone begins
-// with one.
+// Checkpoints of the replayed state, from which a reader starts when the oldest records are no
+// longer in the log.
 
 #include "ledger/impl/ledger_state.hpp"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::uint64_t mixed(std::uint64_t hash, token_count value) {
+std::uint64_t mix_tokens(std::uint64_t hash, token_count value) {
   return mix_hash(hash, static_cast<std::uint64_t>(value));
 }
 
@@ -26,21 +26,21 @@
   hash = mix_hash(hash, d.reclaim_applied ? 1 : 0);
   for (const token_count value :
        {d.granted, d.opened, d.received, d.spent, d.returned, d.lost, d.sent, d.moved, d.gone})
-    hash = mixed(hash, value);
+    hash = mix_tokens(hash, value);
   hash = mix_hash(hash, d.moved_upto);
   for (const std::uint32_t sequence : d.moved_after)
     hash = mix_hash(hash, sequence);
   return hash;
 }
 
-[[noreturn]] void refuse(const std::string& why) {
+[[noreturn]] void throw_invalid(const std::string& why) {
   throw error{error_kind::invalid_document, "ledger checkpoint", why};
 }
 
 } // namespace
 
-// Rows are summed rather than chained: two hosts that began at different checkpoints may have
-// interned the same names in another order.
+// Row hashes are summed rather than chained because hosts that started from different checkpoints
+// may have interned the same names in another order.
 std::uint64_t ledger_state::digest() const {
   std::uint64_t sum = 0;
   for (name_index team = 0; team < teams_.size(); ++team) {
@@ -50,7 +50,7 @@
     std::uint64_t hash = stable_hash(team_names_.name(team));
     for (const token_count value :
          {row.contract, row.spent, row.outstanding, row.written_off, row.orphaned})
-      hash = mixed(hash, value);
+      hash = mix_tokens(hash, value);
     sum += hash;
   }
   for (const auto& [epoch, d] : delegations_)
@@ -60,7 +60,7 @@
   return sum;
 }
 
-// The same sum as `digest`, for one team of a cut.
+// Part of the sum in `digest` for one team of a cut.
 std::uint64_t ledger_state::row_digest(const ledger_snapshot::team_row& row,
                                        std::span<const delegation> delegations) const {
   token_count outstanding = 0;
@@ -75,7 +75,7 @@
     return 0;
   std::uint64_t hash = stable_hash(row.team.str());
   for (const token_count value : {row.contract, row.spent, outstanding, written_off, row.orphaned})
-    hash = mixed(hash, value);
+    hash = mix_tokens(hash, value);
   return sum + hash;
 }
 
@@ -97,7 +97,8 @@
   }
   for (name_index index = 0; index < data_centres_.size(); ++index)
     result.data_centres.push_back(data_centre(index));
-  // Hosts of the past are left out: hundreds of incarnations come and go each day.
+  // Only hosts that a delegation refers to are stored: hundreds of incarnations start and end each
+  // day.
   std::vector<name_index> places(hosts_.size(), no_name);
   const auto place_of = [&](name_index host) {
     if (host == no_name)
@@ -120,8 +121,8 @@
   return result;
 }
 
-// Names stay interned, because a running host that lost its place in the stream keeps indices of
-// them.
+// Names stay interned, because a running host that restores after a gap in the log still holds
+// their indices.
 void ledger_state::restore(const ledger_snapshot& snapshot) {
   begin_restore();
   restore_part(snapshot);
@@ -133,8 +134,8 @@
   touched_.clear();
 }
 
-// A team's row and epochs are replaced together, so whoever looks between two parts sees each team
-// as it was at the old place or as it is at the new one. Both are what replay passes through.
+// A team's row and epochs are replaced together, so between two parts each team is in its state at
+// the old offset or at the new one. Replay passes through both states.
 std::vector<name_index> ledger_state::restore_part(const ledger_snapshot& part) {
   std::vector<name_index> teams;
   for (const ledger_snapshot::team_row& given : part.teams) {
@@ -169,7 +170,8 @@
   const bool witnessed = given.witness != no_name;
   if (given.team >= teams.size() || given.holder >= hosts.size() ||
       (witnessed && given.witness >= hosts.size()) || given.data_centre >= data_centres.size())
-    refuse("epoch " + std::to_string(given.epoch) + " refers to a name that is not given");
+    throw_invalid("epoch " + std::to_string(given.epoch) +
+                  " refers to a name that is not in the checkpoint");
   delegation d = given;
   d.team = teams[given.team];
   d.holder = hosts[given.holder];
@@ -178,14 +180,14 @@
   team_row& row = teams_[d.team];
   d.next_of_team = row.first_epoch;
   if (!delegations_.try_emplace(d.epoch, d).second)
-    refuse("epoch " + std::to_string(given.epoch) + " is given twice");
+    throw_invalid("epoch " + std::to_string(given.epoch) + " is listed twice");
   row.first_epoch = d.epoch;
   row.outstanding += d.outstanding();
   row.written_off += d.written_off();
 }
 
 void ledger_state::clear_team(name_index team) {
-  keep_image(team);
+  save_image(team);
   for (epoch_number epoch = teams_[team].first_epoch; epoch != 0;) {
     const auto found = delegations_.find(epoch);
     epoch = found->second.next_of_team;
@@ -195,7 +197,7 @@
 }
 
 void ledger_state::finish_restore() {
-  const ledger_restore done = *std::exchange(restoring_, std::nullopt);
+  const restore_progress done = *std::exchange(restoring_, std::nullopt);
   for (name_index team = 0; team < teams_.size(); ++team)
     if (team >= done.given.size() || !done.given[team])
       clear_team(team);
@@ -205,7 +207,7 @@
   for (const ledger_snapshot::recent_id& given : recent_)
     recent_ids_.insert(given.id);
   if (digest() != done.digest)
-    refuse("the rows do not have the digest that the checkpoint states");
+    throw_invalid("the digest of the restored state differs from the stated digest");
 }
 
 } // namespace sedgechute::ledger
--- a/src/ledger/impl/ledger_replay.cpp
+++ b/src/ledger/impl/ledger_replay.cpp
@@ -1,4 +1,4 @@
-// The rules by which replay judges records. docs/LEDGER.md lists them with their reasons.
+// The rules by which replay applies or rejects records. docs/LEDGER.md lists them with reasons.
 
 #include "ledger/impl/ledger_state.hpp"
 
@@ -10,19 +10,19 @@
 
 using enum record_verdict;
 
-void keep_first_void(record_verdict& all, record_verdict one) {
+void keep_first_rejection(record_verdict& all, record_verdict one) {
   if (all == applied)
     all = one;
 }
 
 } // namespace
 
-// Ids are remembered for a window of offsets only. A grant composed before the window began might
-// be a repeat of a forgotten one, so it is void; the writer reads that and composes a new one.
+// Ids are remembered for a window of offsets only. A grant composed before the window may be a
+// repeat of a forgotten one, so it is rejected; the writer reads that and composes a new one.
 record_verdict ledger_state::apply(log_offset offset, const record_id& id, const grant& body) {
   if (body.basis + repeat_window_ < offset && fault_ != mutation::ignore_basis)
     return outdated;
-  if (!note_id(offset, id))
+  if (!remember_id(offset, id))
     return repeated;
   const name_index team = intern_team(body.team);
   touch(team);
@@ -51,7 +51,7 @@
   d.granted = fault_ == mutation::grant_above_pool ? body.tokens : std::min(body.tokens, pool);
   d.next_of_team = teams_[team].first_epoch;
   teams_[team].first_epoch = offset;
-  put_back(d);
+  add_to_totals(d);
   delegations_.emplace(offset, std::move(d));
   return applied;
 }
@@ -65,22 +65,22 @@
   if (hosts_[d->holder] != body.holder)
     return wrong_holder;
   const token_count pool = totals(team).pool();
-  take_out(*d);
+  subtract_from_totals(*d);
   d->granted += fault_ == mutation::grant_above_pool ? body.tokens : std::min(body.tokens, pool);
-  put_back(*d);
+  add_to_totals(*d);
   return applied;
 }
 
 record_verdict ledger_state::apply(log_offset, const record_id&, const report& body) {
   record_verdict all = applied;
   for (const epoch_report& item : body.epochs)
-    keep_first_void(all, apply_report(item));
+    keep_first_rejection(all, apply_report(item));
   return all;
 }
 
-// Reports are sums since the epoch began, so a lost, repeated or late one needs no id. What an
-// operator released counts as given back. One that was under way meanwhile may give back some of
-// the same tokens, and only what it gives back beyond them is new.
+// Reports are sums since the epoch began, so a lost, repeated or late report needs no id. Released
+// tokens count as returned. A report that was under way during the release may return some of the
+// same tokens, so only the amount beyond the released one is new.
 record_verdict ledger_state::apply_report(const epoch_report& item) {
   delegation* d = find_mutable(item.epoch);
   if (d == nullptr)
@@ -95,7 +95,7 @@
   const token_count used = item.spent - d->spent + returned - d->returned;
   if (shrinks || used + item.lost > d->remainder())
     return out_of_range;
-  take_out(*d);
+  subtract_from_totals(*d);
   d->version = item.version;
   d->spent = item.spent;
   d->returned = returned;
@@ -103,13 +103,13 @@
   d->sent = item.sent;
   if (item.closing)
     close(*d, item);
-  put_back(*d);
-  drop_if_over(item.epoch);
+  add_to_totals(*d);
+  erase_if_finished(item.epoch);
   return applied;
 }
 
-// A transfer is credited once: its sequence number is kept with the epoch that sent it. A sender
-// that is over has no remainder, so a late repeat finds nothing to move.
+// A transfer is credited once: its sequence number is stored with the epoch that sent it. An epoch
+// that is over has no remainder, so a late repeat moves no tokens.
 void ledger_state::apply_receipts(delegation& to, const epoch_report& item) {
   for (const transfer_receipt& receipt : item.received) {
     delegation* const from = find_mutable(receipt.from);
@@ -117,19 +117,19 @@
       continue;
     if (from->has_moved(receipt.sequence) || from->remainder() < receipt.tokens)
       continue;
-    take_out(*from);
+    subtract_from_totals(*from);
     from->moved += receipt.tokens;
     from->note_moved(receipt.sequence);
-    put_back(*from);
-    take_out(to);
+    add_to_totals(*from);
+    subtract_from_totals(to);
     to.received += receipt.tokens;
-    put_back(to);
-    drop_if_over(receipt.from);
+    add_to_totals(to);
+    erase_if_finished(receipt.from);
   }
 }
 
-// Closing returns all but what receivers of transfers have still to report. A wrongly suspected
-// holder closes its reclaimed epoch too: it alone knows what it did not use.
+// Closing returns all tokens except transfers that their receivers have not reported yet. A wrongly
+// suspected holder closes its reclaimed epoch too, because only it knows what it did not use.
 void ledger_state::close(delegation& d, const epoch_report& item) {
   const token_count in_transit = std::max<token_count>(item.sent - d.moved, 0);
   const token_count back = std::max<token_count>(d.remainder() - d.lost - in_transit, 0);
@@ -143,13 +143,13 @@
 record_verdict ledger_state::apply(log_offset, const record_id&, const reclaim_batch& body) {
   record_verdict all = applied;
   for (const reclaim& item : body.epochs)
-    keep_first_void(all, apply_reclaim(item));
+    keep_first_rejection(all, apply_reclaim(item));
   return all;
 }
 
-// Only the witness of the current term knows all that was countersigned: a replaced one may have
-// missed what its successor signed. What was released before may be among what it never signed, so
-// it counts against that, with what was given back: the two are one sum.
+// Only the witness of the current term knows all countersigned tokens: a replaced witness does not
+// know what its successor signed. Tokens released before may be among those never signed, so
+// `returned`, the sum of released and returned tokens, is subtracted from the unopened ones.
 record_verdict ledger_state::apply_reclaim(const reclaim& item) {
   delegation* const d = find_mutable(item.epoch);
   if (d == nullptr)
@@ -164,13 +164,13 @@
       d->state != delegation_state::live && fault_ != mutation::reclaim_released;
   const token_count released = may_be_released ? d->returned : 0;
   const token_count unopened = std::max<token_count>(d->granted - item.opened - released, 0);
-  take_out(*d);
+  subtract_from_totals(*d);
   d->gone += std::min(unopened, d->remainder());
   d->lost = 0;
   d->reclaim_applied = true;
   d->state = delegation_state::reclaimed;
-  put_back(*d);
-  drop_if_over(item.epoch);
+  add_to_totals(*d);
+  erase_if_finished(item.epoch);
   return applied;
 }
 
@@ -180,11 +180,11 @@
     return unknown_epoch;
   if (d->state != delegation_state::live)
     return not_live;
-  take_out(*d);
+  subtract_from_totals(*d);
   d->lost = 0;
   d->state = delegation_state::abandoned;
-  put_back(*d);
-  drop_if_over(body.epoch);
+  add_to_totals(*d);
+  erase_if_finished(body.epoch);
   return applied;
 }
 
@@ -206,7 +206,7 @@
 record_verdict ledger_state::apply(log_offset offset, const record_id& id, const release& body) {
   if (body.basis + repeat_window_ < offset && fault_ != mutation::ignore_basis)
     return outdated;
-  if (!note_id(offset, id))
+  if (!remember_id(offset, id))
     return repeated;
   const name_index team = intern_team(body.team);
   touch(team);
@@ -221,10 +221,10 @@
     return not_live;
   if (body.of != d->remainder())
     return changed;
-  take_out(*d);
+  subtract_from_totals(*d);
   d->returned += body.tokens;
-  put_back(*d);
-  drop_if_over(body.epoch);
+  add_to_totals(*d);
+  erase_if_finished(body.epoch);
   return applied;
 }
 
--- a/src/relay/impl/caller_poll.hpp
+++ b/src/relay/impl/caller_poll.hpp
@@ -16,39 +16,39 @@
 namespace sedgechute {
 
 /// \brief One caller's connection.
-struct open_caller {
-  open_caller(const Poco::Net::StreamSocket& socket, const clock& time,
-              std::atomic<std::size_t>& counted);
-  open_caller(const open_caller&) = delete;
-  open_caller& operator=(const open_caller&) = delete;
-  ~open_caller();
+struct caller_connection {
+  caller_connection(const Poco::Net::StreamSocket& socket, const clock& time,
+                    std::atomic<std::size_t>& counted);
+  caller_connection(const caller_connection&) = delete;
+  caller_connection& operator=(const caller_connection&) = delete;
+  ~caller_connection();
 
   Poco::Net::StreamSocket socket;
   connection link;
-  std::size_t requests{0}; ///< that have come on it
-  time_ms since;           ///< it waits
-  bool arriving{false};    ///< a part of a request has come
-  bool overdue{false};     ///< the rest did not come soon
-  bool shed{false};        ///< what arrives is to be refused
-  bool registered{false};  ///< with the poll
+  std::size_t requests{0}; ///< received on this connection
+  time_ms since;           ///< when the current wait began
+  bool arriving{false};    ///< part of a request has been read
+  bool overdue{false};     ///< the rest did not arrive within `arriving_timeout`
+  bool shed{false};        ///< the arriving request is to be refused
+  bool registered{false};  ///< its descriptor has been added to the epoll set
   std::atomic<std::size_t>& count;
-  std::atomic<std::size_t>* closing{nullptr}; ///< counts it once it is answered for the last time
+  std::atomic<std::size_t>* closing{nullptr}; ///< counter of closing connections; null before
 };
 
 struct caller_poll_options {
-  std::size_t most_connections{3000};
-  time_ms closing_timeout{300};  ///< for a caller to read the last answer
-  time_ms arriving_timeout{500}; ///< for the rest of a request, before a thread waits for it
+  std::size_t max_connections{3000};
+  time_ms closing_timeout{300};  ///< for the caller to read the last answer and close
+  time_ms arriving_timeout{500}; ///< for the rest of a request; then a thread takes over the wait
 };
 
-/// \brief Accepts callers' connections and waits, on one thread, for what comes on those that no
-/// request is being served on.
+/// \brief Accepts callers' connections and polls, on one thread, all connections on which no
+/// request is being served.
 class caller_poll {
  public:
-  /// \brief Takes a connection on which bytes have come; they are in its buffer.
-  using ready_handler = std::function<void(std::unique_ptr<open_caller>)>;
+  /// \brief Receives a connection whose buffer holds newly read bytes.
+  using ready_handler = std::function<void(std::unique_ptr<caller_connection>)>;
 
-  /// \param idle_timeout  after which a connection without a request is closed
+  /// \param idle_timeout  returns the time after which a connection without a request is closed
   caller_poll(const Poco::Net::ServerSocket& socket, const planned_stop& stop,
               std::function<time_ms()> idle_timeout, const caller_poll_options& options,
               const clock& time, structured_log& log, ready_handler on_ready);
@@ -59,28 +59,29 @@
   void start();
   void stop() noexcept;
 
-  /// \brief Waits for the next request on a connection, or for the rest of one.
-  void wait_for_request(std::unique_ptr<open_caller> caller);
-  /// \brief Ends our side; closes the connection once its caller has, or soon.
-  void close_gently(std::unique_ptr<open_caller> caller);
+  /// \brief Waits for the next request on a connection, or for the rest of a partly read one.
+  void wait_for_request(std::unique_ptr<caller_connection> caller);
+  /// \brief Shuts down writing; closes the connection when the caller does, or after
+  /// `closing_timeout`.
+  void close_gracefully(std::unique_ptr<caller_connection> caller);
 
   [[nodiscard]] std::size_t connections() const noexcept { return connections_; }
-  /// \returns connections that are being closed
+  /// \returns the number of connections that are being closed
   [[nodiscard]] std::size_t closing() const noexcept { return closing_; }
 
  private:
-  using callers = std::unordered_map<int, std::unique_ptr<open_caller>>;
+  using callers = std::unordered_map<int, std::unique_ptr<caller_connection>>;
 
   void run();
   void handle(int descriptor);
   void accept_callers();
   void listen(bool on) noexcept;
   void note_ready(int descriptor);
-  /// \brief Reads what has come, and hands the connection over if anything has.
-  void take_bytes(std::unique_ptr<open_caller> caller);
-  void drain(std::unique_ptr<open_caller> caller);
-  void park(std::unique_ptr<open_caller> caller);
-  /// \param served_only  connections that still wait for their first request are kept
+  /// \brief Reads available bytes and passes the connection to the handler if there are any.
+  void take_bytes(std::unique_ptr<caller_connection> caller);
+  void drain(std::unique_ptr<caller_connection> caller);
+  void park(std::unique_ptr<caller_connection> caller);
+  /// \param served_only  keeps connections that have not had a request yet
   void close_waiting(bool served_only);
   void close_overdue();
   void add(int descriptor) noexcept;
@@ -100,7 +101,7 @@
   std::atomic<std::size_t> closing_{0};
   ordered_mutex mutex_{lock_rank::worker_pool};
   callers callers_;
-  bool served_closed_{false}; ///< connections that have been served wait no more
+  bool served_closed_{false}; ///< connections that have had a request are closed when idle
   bool all_closed_{false};
   std::thread thread_;
 };
--- a/src/relay/impl/connection.cpp
+++ b/src/relay/impl/connection.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 constexpr std::size_t read_block_bytes = 16 * 1024;
-constexpr std::size_t compact_above = 64 * 1024; // consumed bytes kept before the buffer is moved
+constexpr std::size_t compact_threshold = 64 * 1024; // consumed bytes that compact the buffer
 
-// A host that lost power or is cut off answers nothing. The kernel gives up on unacknowledged
-// bytes after the first bound, and on an idle connection after the probes. Both lie above the
-// longest retransmission seen on links that lose a few packets in a hundred.
+// A machine that lost power or is cut off does not reply. The kernel gives up on unacknowledged
+// bytes after `unacknowledged_ms`, and on an idle connection after the keepalive probes. Both times
+// exceed the longest retransmission seen on links that lose a few packets in a hundred.
 constexpr int unacknowledged_ms = 2000;
 constexpr int idle_before_probe_s = 2;
 constexpr int probe_interval_s = 1;
@@ -43,7 +43,7 @@
   return got == 0 || (got < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-bool caller_watch::left_by_now() noexcept {
+bool caller_watch::has_left() noexcept {
   pollfd fd{descriptor_, events(), 0};
   return ::poll(&fd, 1, 0) > 0 && left(fd.revents);
 }
@@ -55,7 +55,7 @@
   try {
     socket_.close();
   } catch (const Poco::Exception&) {
-    return; // it has been closed by the other side; there is nothing left to free
+    return; // the peer has closed the connection; there is nothing left to free
   }
 }
 
@@ -68,7 +68,7 @@
   if (consumed_ == buffer_.size()) {
     buffer_.clear();
     consumed_ = 0;
-  } else if (consumed_ > compact_above) {
+  } else if (consumed_ > compact_threshold) {
     buffer_.erase(0, consumed_);
     consumed_ = 0;
   }
@@ -179,7 +179,7 @@
     std::string{}.swap(buffer_);
 }
 
-void connection::end_writing() noexcept {
+void connection::shutdown_write() noexcept {
   (void)::shutdown(descriptor_, SHUT_WR);
 }
 
@@ -197,16 +197,16 @@
     auto link = std::make_unique<connection>(socket, time);
     const io_status status = link->wait_open(time.now() + timeout, watch);
     if (status != io_status::ok)
-      return {nullptr, status}; // whoever asked logs the endpoint as unreachable
+      return {nullptr, status}; // the caller of this function logs the endpoint as unreachable
     socket.setNoDelay(true);
-    guard_against_silence(socket);
+    enable_dead_peer_detection(socket);
     return {std::move(link), status};
   } catch (const Poco::Exception&) {
     return {nullptr, io_status::reset};
   }
 }
 
-void guard_against_silence(Poco::Net::StreamSocket& socket) {
+void enable_dead_peer_detection(Poco::Net::StreamSocket& socket) {
   socket.setKeepAlive(true);
   socket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_ms);
   socket.setOption(IPPROTO_TCP, TCP_KEEPIDLE, idle_before_probe_s);
--- /dev/null
+++ b/src/relay/impl/http_frontend.hpp
@@ -0,0 +1,71 @@
+#pragma once
+
+#include "gateway/impl/request_header.hpp"
+#include "relay/impl/caller_poll.hpp"
+#include "relay/impl/elastic_pool.hpp"
+#include "relay/impl/request_relay.hpp"
+
+#include <Poco/Net/ServerSocket.h>
+
+#include <atomic>
+#include <cstdint>
+#include <memory>
+
+namespace sedgechute {
+
+struct http_frontend_options {
+  time_ms body_timeout{10000}; ///< for a whole request body
+  caller_poll_options connections{};
+  elastic_pool_options threads{}; ///< each serves one request and uses some 30 KB of its stack
+};
+
+/// \brief HTTP server in front of a relay. One thread polls all idle connections, and each accepted
+/// request gets a thread from a pool. Under load, requests are refused by their header alone.
+class http_frontend {
+ public:
+  http_frontend(request_relay& relay, const wire_dialect& dialect,
+                std::function<caller_limits()> limits, const http_frontend_options& options,
+                const Poco::Net::ServerSocket& socket, const clock& time, structured_log& log);
+  http_frontend(const http_frontend&) = delete;
+  http_frontend& operator=(const http_frontend&) = delete;
+  ~http_frontend();
+
+  void start();
+  [[nodiscard]] std::size_t connections() const noexcept { return poll_.connections(); }
+  /// \returns the number of requests that are being read or served
+  [[nodiscard]] std::size_t unanswered() const noexcept { return unanswered_; }
+  /// \returns the same, plus the connections that are being closed after their last answer
+  [[nodiscard]] std::size_t busy() const noexcept { return busy_ + poll_.closing(); }
+
+ private:
+  struct job;
+  enum class screen_result;
+
+  void dispatch(std::unique_ptr<caller_connection> caller);
+  /// \brief Decides by its header whether a request is served, without waiting for more bytes.
+  [[nodiscard]] screen_result screen(caller_connection& caller, preparing_requests::guard& guard);
+  void note_refused();
+  void run(const std::shared_ptr<job>& work);
+  void refuse(job& work);
+  /// \brief Serves the requests that have arrived on a connection and returns it to the poll.
+  void serve(job& work);
+  [[nodiscard]] connection_action answer_one(caller_connection& caller,
+                                             preparing_requests::guard guard, bool screened);
+  void read_body(connection& link, const message_framing& framing, const caller_limits& limits,
+                 incoming_request& request, caller_watch& until_cut) const;
+
+  request_relay& relay_;
+  const wire_dialect& dialect_;
+  std::function<caller_limits()> limits_;
+  http_frontend_options options_;
+  const clock& time_;
+  structured_log& log_;
+  std::atomic<std::size_t> unanswered_{0};
+  std::atomic<std::size_t> busy_{0};
+  elastic_pool threads_;
+  std::uint64_t refused_{0}; ///< since the last log line about refusals
+  time_ms refused_told_;
+  caller_poll poll_;
+};
+
+} // namespace sedgechute
--- a/src/relay/impl/request_relay.cpp
+++ b/src/relay/impl/request_relay.cpp
@@ -6,15 +6,16 @@
 
 request_relay::request_relay(parts joined, const relay_options& options)
     : parts_{std::move(joined)}, options_{options},
-      connections_{parts_.time}, stop_{options.stop, parts_.time}, repeats_{options.retries} {}
+      connections_{parts_.time}, stop_{options.stop, parts_.time}, retries_{options.retries} {}
 
-after_answer request_relay::serve(incoming_request& request) {
+connection_action request_relay::serve(incoming_request& request) {
   request_run run{*this, request};
-  return run.go();
+  return run.run();
 }
 
-// Refused by the header alone: threads, tokens and the log cost a busy host many times more. What
-// the configuration does not allow gets its usual answer from a thread.
+// A refusal by the header alone saves the thread, the reservation of tokens and the log line, which
+// cost many times more. Requests that `admit` rejects are accepted here: a thread answers them with
+// the proper error.
 request_relay::screening request_relay::screen(const request_head& head, bool shed) {
   admitted_request admitted;
   try {
@@ -23,8 +24,8 @@
     return {};
   }
   const std::string_view team = admitted.team_name();
-  if (!shed && !full() && !exceeds_share(preparing_.load(team), options_.most_preparing))
-    return {.mark = preparing_.begin(team)};
+  if (!shed && !full() && !exceeds_share(preparing_.load(team), options_.max_preparing))
+    return {.guard = preparing_.begin(team)};
   constexpr std::string_view status = "503";
   parts_.figures.add(metric::requests, {team, admitted.on_route->name, status});
   const auto busy_for = parts_.pressure.busy_for ? parts_.pressure.busy_for() : std::nullopt;
@@ -41,12 +42,12 @@
 
 error request_relay::too_many_open() const {
   return {error_kind::no_capacity, "host",
-          std::to_string(options_.most_open) + " requests are open here",
+          std::to_string(options_.max_open) + " requests are already open on this host",
           options_.overload_retry_after};
 }
 
 error request_relay::processor_used_up(time_ms retry_after) {
-  return {error_kind::no_capacity, "host", "its processor is used up", retry_after};
+  return {error_kind::no_capacity, "host", "the processor is overloaded", retry_after};
 }
 
 double request_relay::draw() {
@@ -59,15 +60,15 @@
     parts_.pressure.note_request(turned_away);
 }
 
-bool request_relay::may_repeat(const std::string& service) {
+bool request_relay::may_retry(const std::string& service) {
   const std::size_t hosts = parts_.hosts();
   const std::scoped_lock lock{mutex_};
-  return repeats_.take_repeat(service, hosts, parts_.time.now());
+  return retries_.take_retry(service, hosts, parts_.time.now());
 }
 
 void request_relay::note_first_send(const std::string& service) {
   const std::scoped_lock lock{mutex_};
-  repeats_.note_request(service, parts_.time.now());
+  retries_.note_request(service, parts_.time.now());
 }
 
 void request_relay::note_length(const std::string& kind, time_ms length) {
@@ -75,7 +76,8 @@
   lengths_.note(kind, length);
 }
 
-// Before some requests of a kind have ended nothing is known of it, and it is taken.
+// Until some requests of a kind have ended, its duration is unknown and taken as 0, so that it is
+// accepted.
 run_forecast request_relay::forecast(const std::string& kind, time_ms most) const {
   constexpr std::size_t likely_percent = 90;
   const std::scoped_lock lock{mutex_};
--- a/src/relay/impl/request_run.cpp
+++ b/src/relay/impl/request_run.cpp
@@ -17,13 +17,13 @@
   --relay_.open_;
 }
 
-after_answer request_run::go() {
+connection_action request_run::run() {
   try {
-    check_room();
+    check_capacity();
     admit(in_.head, in_.received, relay_.parts_.dialect, relay_.parts_.config(), admitted_);
-    in_.preparing.belong_to(admitted_.team_name());
+    in_.preparing.assign_team(admitted_.team_name());
     check_time_left();
-    check_processor();
+    check_overload();
     reserved_ =
         reserve_tokens(relay_.parts_.budgets, admitted_, relay_.options_.budget_retry_after);
     return run_sends();
@@ -32,43 +32,42 @@
   }
 }
 
-void request_run::check_room() const {
-  if (relay_.open_ > relay_.options_.most_open)
+void request_run::check_capacity() const {
+  if (relay_.open_ > relay_.options_.max_open)
     throw relay_.too_many_open();
 }
 
-// Refused before it costs more. Once the balancer has seen the host busy, the caller's next
-// connection is dealt to another one.
-void request_run::check_processor() {
+// Refuses early, before the request costs more. Once the balancer has seen that the host is busy,
+// it sends the caller's next connection to another one.
+void request_run::check_overload() {
   if (in_.screened || !relay_.sheds())
     return;
   last_on_connection_ = true;
   throw request_relay::processor_used_up(relay_.options_.pressure_retry.soon);
 }
 
-// A connection that its caller keeps brings requests until the process is gone.
+// Requests keep arriving on persistent connections until the process exits.
 void request_run::check_time_left() const {
   if (!relay_.stop_.begun())
     return;
   const run_forecast run = relay_.forecast(admitted_.on_route->name, admitted_.deadline - now());
   if (!relay_.stop_.may_take(run))
     throw error{error_kind::stopping, "host",
-                "too little of its grace is left for a run of up to " +
+                "the rest of the grace period is too short for a request of up to " +
                     std::to_string(run.surely.count()) + " ms",
                 relay_.options_.stop_retry_after};
 }
 
-// Some of the time until here may have passed with the request unread or waiting for tokens. On a
-// host that has more to do than its processor carries, callers give up meanwhile, and a send would
-// only add work for nobody.
-after_answer request_run::run_sends() {
+// The request may have waited to be read or for tokens. On an overloaded host callers give up
+// meanwhile, and sending their requests would only add load.
+connection_action request_run::run_sends() {
   send_outcome end = send_outcome::not_run;
   do {
-    if (watch_.left_by_now())
+    if (watch_.has_left())
       return give_up(send_outcome::caller_left);
     if (!may_have_run_)
-      check_time_left(); // an endpoint that refused it, or took no connection, has cost some
-    const auto place = find_place();
+      check_time_left(); // earlier refusals and failed connects have taken time
+    const auto place = choose_placement();
     if (!place)
       break;
     end = send_once(*place);
@@ -78,7 +77,7 @@
   return give_up(end);
 }
 
-after_answer request_run::note_answered() {
+connection_action request_run::note_answered() {
   relay_.note_length(admitted_.on_route->name, now() - in_.received);
   log_end(answer_.status(), "answered");
   return done();
@@ -91,7 +90,7 @@
   case next_send::uncounted:
     return true;
   case next_send::counted:
-    return now() < admitted_.deadline && relay_.may_repeat(admitted_.service);
+    return now() < admitted_.deadline && relay_.may_retry(admitted_.service);
   }
   return false;
 }
@@ -106,7 +105,7 @@
           .cut = answer_.cut()};
 }
 
-std::optional<placement> request_run::find_place() {
+std::optional<placement> request_run::choose_placement() {
   const auto& generation = admitted_.terms.generation;
   auto place = relay_.parts_.endpoints.place(
       {admitted_.service, generation ? &*generation : nullptr, avoid_});
@@ -126,11 +125,11 @@
 }
 
 send_outcome request_run::send_to(const placement& place, bool& prompt_read) {
-  connect_result reached = reach(place);
+  connect_result reached = open_connection(place);
   if (!reached.link)
-    return without_connection(reached.status);
-  if (!relay_.stop_.taking()) { // since it was looked at, an endpoint was chosen and connected to
-    relay_.connections_.give_back(place.endpoint, place.life, std::move(reached.link));
+    return connect_failure(reached.status);
+  if (!relay_.stop_.taking()) { // the cut may have come during the connect
+    relay_.connections_.give_back(place.endpoint, place.local_incarnation, std::move(reached.link));
     return send_outcome::host_stopped;
   }
   if (sent_to_.empty())
@@ -138,7 +137,7 @@
   sent_to_.push_back(place.endpoint);
   avoid_.push_back(place.incarnation);
   const bool may_have_run_before = may_have_run_;
-  may_have_run_ = true; // from the first byte on, until the endpoint says otherwise
+  may_have_run_ = true; // until the endpoint replies that it did not run the request
   in_.preparing.end();
   const send_outcome end = exchange(place, std::move(reached.link), prompt_read);
   if (end == send_outcome::not_run)
@@ -146,7 +145,7 @@
   return end;
 }
 
-send_outcome request_run::without_connection(io_status why) noexcept {
+send_outcome request_run::connect_failure(io_status why) noexcept {
   if (why == io_status::caller_left)
     return send_outcome::caller_left;
   if (why == io_status::interrupted)
@@ -155,12 +154,12 @@
   return why == io_status::timed_out ? send_outcome::silent : send_outcome::unreachable;
 }
 
-// An endpoint that takes no connection would hold its request beyond the time that the exit has for
-// the last answers: the wait ends at the cut.
-connect_result request_run::reach(const placement& place) {
-  const time_ms most_idle = runs_once(*admitted_.on_route) ? relay_.options_.most_idle_run_once
-                                                           : relay_.options_.most_idle;
-  auto idle = relay_.connections_.take(place.endpoint, place.life, most_idle);
+// The connect is interrupted at the cut. Otherwise a silent endpoint could hold the request beyond
+// the time that is left for the last answers before the exit.
+connect_result request_run::open_connection(const placement& place) {
+  const time_ms max_idle =
+      runs_once(*admitted_.on_route) ? relay_.options_.max_idle_run_once : relay_.options_.max_idle;
+  auto idle = relay_.connections_.take(place.endpoint, place.local_incarnation, max_idle);
   if (idle)
     return {std::move(idle), io_status::ok};
   return connect_to(place.address, relay_.options_.connect_timeout, relay_.parts_.time, &watch_);
@@ -172,29 +171,29 @@
   const relay_options& options = relay_.options_;
   endpoint_exchange one{
       {parts.dialect, parts.endpoints, parts.time, admitted_, place, watch_, answer_},
-      {options.longest_silence, options.most_reply_head, options.most_buffered_body},
+      {options.longest_silence, options.max_reply_head, options.max_buffered_body},
       *link,
       static_cast<int>(sent_to_.size())};
-  const send_outcome end = one.go(endpoint_request(
+  const send_outcome end = one.run(endpoint_request(
       in_.head, in_.body, admitted_, place, answer_.events().last_id(), parts.dialect, now()));
   prompt_read = one.prompt_read();
   if (one.reusable())
-    relay_.connections_.give_back(place.endpoint, place.life, std::move(link));
+    relay_.connections_.give_back(place.endpoint, place.local_incarnation, std::move(link));
   else
     link->abort();
   return end;
 }
 
-after_answer request_run::give_up(send_outcome end) {
+connection_action request_run::give_up(send_outcome end) {
   const run_end how =
       end_of_run(end, progress(), admitted_.service, relay_.options_.full_retry_after);
   switch (how.answer) {
   case final_answer::none:
     log_end(0, how.reason);
-    return after_answer::abort;
+    return connection_action::abort;
   case final_answer::cut_stream:
     log_end(answer_.status(), how.reason);
-    return after_answer::abort;
+    return connection_action::abort;
   case final_answer::endpoints_error:
     return deliver_error(how.reason);
   case final_answer::refusal:
@@ -203,36 +202,37 @@
   return refuse(*how.refusal);
 }
 
-after_answer request_run::deliver_error(std::string_view reason) {
+connection_action request_run::deliver_error(std::string_view reason) {
   if (!answer_.deliver_kept()) {
     log_end(0, answer_.cut() ? "cut_by_stop" : "caller_gone");
-    return after_answer::abort;
+    return connection_action::abort;
   }
   log_end(answer_.status(), reason);
   return done();
 }
 
-after_answer request_run::refuse(const error& reason) {
-  told_end_ = ends_connection();
+connection_action request_run::refuse(const error& reason) {
+  announced_close_ = ends_connection();
   const std::string text =
-      refusal_text(relay_.parts_.dialect, reason, admitted_.terms.id, told_end_);
+      refusal_text(relay_.parts_.dialect, reason, admitted_.terms.id, announced_close_);
   log_end(answer_for(reason.kind()).http_status, reason.what());
-  return answer_.write(text) ? done() : after_answer::abort;
+  return answer_.write(text) ? done() : connection_action::abort;
 }
 
 bool request_run::ends_connection() const noexcept {
   return last_on_connection_ || relay_.stop_.begun();
 }
 
-// The header of a stream may have gone before the signal to stop, without a word of the
-// connection's end. Its caller's next request would come here all the same, and be refused. One
-// that has come already gets an answer, which says what the first did not: dropped, it may have run
-// as far as its caller can tell.
-after_answer request_run::done() const noexcept {
+// A stream's header may have been sent before the stop began, without `Connection: close`. Then the
+// connection is closed if no further request has arrived, as the next one would only be refused. A
+// request that has already arrived is answered, with `Connection: close`: if it were dropped, its
+// caller could not tell whether it has run.
+connection_action request_run::done() const noexcept {
   if (!ends_connection())
-    return after_answer::next_request;
-  const bool told = told_end_ || answer_.told_end();
-  return told || in_.caller.quiet() ? after_answer::close : after_answer::next_request;
+    return connection_action::next_request;
+  const bool announced = announced_close_ || answer_.announced_close();
+  return announced || in_.caller.quiet() ? connection_action::close
+                                         : connection_action::next_request;
 }
 
 std::uint64_t request_run::used() const noexcept {
--- a/src/relay/impl/send_rules.cpp
+++ b/src/relay/impl/send_rules.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr int most_unreachable = 3; // endpoints without a connection that one request tries
+constexpr int max_unreachable = 3; // failed connects per request
 
-// A stall is several times what an undisturbed answer takes: engines at full load are up to three
-// times slower, and a run given up is lost work.
-constexpr std::int64_t targets_before_stall = 3;
+// A stall is several times the usual duration: engines at full load are up to three times slower,
+// and an abandoned run is wasted work.
+constexpr std::int64_t targets_until_stall = 3;
 constexpr std::int64_t pauses_before_stall = 5;
-constexpr time_ms least_stall{600};
+constexpr time_ms min_stall{600};
 
-failed_so_far failed_on(const route& on, int sends, bool may_have_run,
-                        bool harmless_twice) noexcept {
+failed_request failed_on(const route& on, int sends, bool may_have_run,
+                         bool harmless_twice) noexcept {
   return {.may_have_run = may_have_run,
-          .harmless_twice = harmless_twice,
+          .idempotent = harmless_twice,
           .attempts = static_cast<std::uint32_t>(sends),
-          .most_attempts = static_cast<std::uint32_t>(on.most_attempts)};
+          .max_attempts = static_cast<std::uint32_t>(on.max_attempts)};
 }
 
 run_end refused(error_kind kind, const std::string& where, const std::string& why,
@@ -55,7 +55,7 @@
     return next_send::none;
   case send_outcome::unreachable:
   case send_outcome::silent:
-    return so_far.unreachable < most_unreachable ? next_send::uncounted : next_send::none;
+    return so_far.unreachable < max_unreachable ? next_send::uncounted : next_send::none;
   case send_outcome::not_run:
     return counted_if(false, false);
   case send_outcome::own_error:
@@ -67,15 +67,14 @@
   return next_send::none;
 }
 
-// An endpoint that accepts a request and says nothing looks like a slow one. Where the request may
-// be run again, waiting for it beyond several times what an answer takes only makes it later.
-time_ms patience_with_endpoint(const route& on, const send_progress& so_far,
-                               time_ms most) noexcept {
+// An endpoint that hangs cannot be told from a slow one. When the request may run again, waiting
+// for longer than several times the usual duration only delays the answer.
+time_ms stall_timeout(const route& on, const send_progress& so_far, time_ms most) noexcept {
   if (!may_run_again(on, so_far.sends))
     return most;
   if (so_far.events > 0)
-    return std::max(on.longest_pause * pauses_before_stall, least_stall);
-  return std::max(on.latency_target * targets_before_stall, least_stall);
+    return std::max(on.longest_pause * pauses_before_stall, min_stall);
+  return std::max(on.latency_target * targets_until_stall, min_stall);
 }
 
 run_end end_of_run(send_outcome end, const send_progress& so_far, const std::string& service,
@@ -88,9 +87,10 @@
   if (end == send_outcome::own_error)
     return {final_answer::endpoints_error, "endpoint_error", std::nullopt};
   if (end == send_outcome::host_stopped && !so_far.may_have_run)
-    return refused(error_kind::stopping, "host", "its grace is over");
+    return refused(error_kind::stopping, "host", "the grace period is over");
   if (end == send_outcome::host_stopped)
-    return refused(error_kind::outcome_unknown, "host", "it stops, and the request may have run");
+    return refused(error_kind::outcome_unknown, "host",
+                   "is stopping, and the request may have run");
   const bool late = end == send_outcome::timed_out;
   if (so_far.may_have_run)
     return refused(late ? error_kind::outcome_unknown : error_kind::endpoint_failed, service,
@@ -99,13 +99,14 @@
                  "no endpoint took the request", retry_after);
 }
 
-// Engines admit the more urgent first. Who must have the first event sooner goes before: a short
-// prompt that waits behind a long one is late, the long one hardly notices the short one.
+// Engines admit more urgent requests first. Routes with a shorter latency target come first: a
+// short prompt that waits behind a long one misses its target, whereas the long one is hardly
+// delayed by a short one.
 int urgency_of(const route& on) noexcept {
-  constexpr std::int64_t ms_a_step = 200;
+  constexpr std::int64_t ms_per_step = 200;
   constexpr std::int64_t least_urgent = 8;
   return static_cast<int>(
-      std::clamp<std::int64_t>(on.latency_target.count() / ms_a_step, 0, least_urgent));
+      std::clamp<std::int64_t>(on.latency_target.count() / ms_per_step, 0, least_urgent));
 }
 
 } // namespace sedgechute
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief The way of a request through an entry host: connections, routes, placement, retries and
-/// the answer. What callers and endpoints speak is behind the port `wire_dialect`.
+/// \brief Relays requests through an entry host: connections, routes, placement, retries and
+/// answers. The port `wire_dialect` hides the header fields of callers and endpoints.
 
 #include "relay/impl/caller_poll.hpp"
 #include "relay/impl/choose_replica.hpp"
@@ -16,25 +16,25 @@
 #include "relay/impl/fleet_config.hpp"
 #include "relay/impl/fleet_source.hpp"
 #include "relay/impl/forward_declarations.hpp"
-#include "relay/impl/front_door.hpp"
 #include "relay/impl/host_list.hpp"
 #include "relay/impl/host_pressure.hpp"
+#include "relay/impl/http_frontend.hpp"
 #include "relay/impl/incoming_request.hpp"
-#include "relay/impl/load_board.hpp"
 #include "relay/impl/load_exchange.hpp"
 #include "relay/impl/load_shedding.hpp"
 #include "relay/impl/message_head.hpp"
 #include "relay/impl/peer_channel.hpp"
+#include "relay/impl/peer_load_table.hpp"
 #include "relay/impl/planned_stop.hpp"
+#include "relay/impl/prefix_index.hpp"
 #include "relay/impl/preparing_requests.hpp"
-#include "relay/impl/processor_watch.hpp"
-#include "relay/impl/prompt_starts.hpp"
-#include "relay/impl/reach_watch.hpp"
+#include "relay/impl/processor_monitor.hpp"
+#include "relay/impl/reachability_tracker.hpp"
 #include "relay/impl/request_preview.hpp"
 #include "relay/impl/request_relay.hpp"
 #include "relay/impl/request_terms.hpp"
-#include "relay/impl/retry_allowance.hpp"
+#include "relay/impl/retry_limiter.hpp"
 #include "relay/impl/send_outcome.hpp"
 #include "relay/impl/send_rules.hpp"
-#include "relay/impl/start_question.hpp"
+#include "relay/impl/start_time_query.hpp"
 #include "relay/impl/wire_dialect.hpp"
--- a/src/routing/impl/share_relay.cpp
+++ b/src/routing/impl/share_relay.cpp
@@ -13,14 +13,14 @@
 constexpr time_ms shortest_interval{1000};
 constexpr time_ms longest_interval{4000};
 constexpr std::int64_t ms_per_host = 12;
-// Rounds are driven by a loop that is never quite on time.
+// The loop that starts the rounds may run slightly early or late.
 constexpr time_ms tolerance{100};
-// Hosts learn of a new speaker at different moments and report in rounds of their own.
+// Hosts learn of a new speaker at different times, and their rounds are not synchronised.
 constexpr std::int64_t rounds_listened = 2;
-// A report outlives two that are lost. An answer outlives the speaker until the next one is chosen
-// and has listened.
+// A report stays valid if the next two are lost. An answer stays valid after its speaker has
+// failed, until the next speaker has been chosen and has listened for its rounds.
 constexpr std::int64_t rounds_kept = 4;
-constexpr time_ms detection{2000};
+constexpr time_ms failure_detection{2000};
 
 std::vector<host_id> candidates(const std::vector<share_member>& members,
                                 const data_centre_id& data_centre, bool leaving) {
@@ -52,8 +52,8 @@
   return found == members_.end() ? nullptr : &*found;
 }
 
-// In a partition each side divides the pool over the hosts that it hears. A report of a host that
-// is gone would hold back a part that nobody uses, for as long as reports are kept.
+// In a partition each side divides the pool over the hosts that it can reach. The report of a host
+// that is gone would reserve an unused part of the pool for as long as reports are kept.
 void share_relay::set_members(std::vector<share_member> members, time_ms now) {
   members_ = std::move(members);
   if (member_of(self_) == nullptr)
@@ -100,17 +100,17 @@
   return now - speakers.since >= interval() * rounds_listened;
 }
 
-bool share_relay::is_recent(const heard_report& heard, time_ms now) const {
-  return now - heard.at <= interval() * rounds_kept + detection;
+bool share_relay::is_recent(const received_report& received, time_ms now) const {
+  return now - received.at <= interval() * rounds_kept + failure_detection;
 }
 
 // A late answer of a former speaker must not replace its successor's: it may lack hosts that the
-// former one could not hear.
+// former speaker could not reach.
 void share_relay::merge(const share_report& report, time_ms now) {
   const share_member* const sender = member_of(report.from);
   if (sender == nullptr || report.from == self_)
     return;
-  const auto keep = [&](heard_report& known) {
+  const auto keep = [&](received_report& known) {
     if (is_newer(report, known.report))
       known = {report, now};
   };
@@ -124,7 +124,7 @@
       keep(from_centres_[report.pool][sender->data_centre]);
     return;
   case share_scope::fleet: {
-    heard_report& known = answers_[report.pool];
+    received_report& known = answers_[report.pool];
     const bool from_speaker = speakers(report.pool, now).of.at(here_) == report.from;
     if (sender->data_centre == here_ && (from_speaker || !is_recent(known, now)))
       keep(known);
@@ -133,7 +133,7 @@
   }
 }
 
-void share_relay::take_own(std::vector<share_report> own) {
+void share_relay::record_own(std::vector<share_report> own) {
   own_.clear();
   for (share_report& report : own) {
     measured_[report.pool].push_back(report);
@@ -141,10 +141,10 @@
   }
 }
 
-// Of a round of seconds the last second alone would leave most teams unnamed: in a large fleet a
-// team has a request at a host only now and then.
+// A round may last several seconds, and its last second alone would omit most teams: in a large
+// fleet a team has only occasional requests at any one host.
 share_report share_relay::mean_of(const std::vector<share_report>& measured) const {
-  share_report mean = merge_reports(measured, policy_.most_teams);
+  share_report mean = merge_reports(measured, policy_.max_teams);
   const double part = 1.0 / static_cast<double>(measured.size());
   const auto scale = [part](team_demand& team) {
     team.wanted *= part;
@@ -162,7 +162,7 @@
 }
 
 std::vector<addressed_shares> share_relay::exchange(std::vector<share_report> own, time_ms now) {
-  take_own(std::move(own));
+  record_own(std::move(own));
   if (last_round_ && now - *last_round_ < interval() - tolerance)
     return {};
   last_round_ = now;
@@ -173,7 +173,7 @@
     const pool_speakers& known = speakers(pool, now);
     const incarnation& speaker = known.of.at(here_);
     if (speaker == self_)
-      speak(pool, known, now);
+      publish_sums(pool, known, now);
     else
       queue(speaker, report);
   }
@@ -183,13 +183,13 @@
   return due;
 }
 
-// A new speaker has heard few hosts. Its sums would divide the pool over these alone, and the
-// credits of all hosts would add up to far more than the pool; so it listens before.
-void share_relay::speak(const pool_id& pool, const pool_speakers& speakers, time_ms now) {
+// A new speaker has reports from few hosts. Its sum would divide the pool over these alone, and the
+// credits of all hosts would add up to far more than the pool, so it first listens for some rounds.
+void share_relay::publish_sums(const pool_id& pool, const pool_speakers& speakers, time_ms now) {
   if (!has_listened(speakers, now))
     return;
-  const std::vector<share_report> near = heard_here(pool, now);
-  share_report here = merge_reports(near, policy_.most_teams);
+  const std::vector<share_report> near = local_reports(pool, now);
+  share_report here = merge_reports(near, policy_.max_teams);
   here.pool = pool;
   here.from = self_;
   here.sequence = ++sequence_;
@@ -197,9 +197,9 @@
   for (const auto& [data_centre, speaker] : speakers.of)
     if (data_centre != here_)
       queue(speaker, here);
-  std::vector<share_report> heard = heard_elsewhere(pool, now);
-  heard.insert(heard.end(), near.begin(), near.end());
-  share_report all = merge_reports(heard, std::numeric_limits<std::size_t>::max());
+  std::vector<share_report> reports = remote_reports(pool, now);
+  reports.insert(reports.end(), near.begin(), near.end());
+  share_report all = merge_reports(reports, std::numeric_limits<std::size_t>::max());
   all.pool = pool;
   all.from = self_;
   all.sequence = here.sequence;
@@ -209,28 +209,28 @@
       queue(asked.from, answers.answer_to(asked));
 }
 
-std::vector<share_report> share_relay::heard_here(const pool_id& pool, time_ms now) const {
-  std::vector<share_report> heard;
+std::vector<share_report> share_relay::local_reports(const pool_id& pool, time_ms now) const {
+  std::vector<share_report> reports;
   if (const auto known = from_hosts_.find(pool); known != from_hosts_.end())
     for (const auto& [host, one] : known->second)
       if (is_recent(one, now))
-        heard.push_back(one.report);
+        reports.push_back(one.report);
   if (const auto own = mean_.find(pool); own != mean_.end())
-    heard.push_back(own->second);
-  return heard;
+    reports.push_back(own->second);
+  return reports;
 }
 
-std::vector<share_report> share_relay::heard_elsewhere(const pool_id& pool, time_ms now) const {
-  std::vector<share_report> heard;
+std::vector<share_report> share_relay::remote_reports(const pool_id& pool, time_ms now) const {
+  std::vector<share_report> reports;
   if (const auto known = from_centres_.find(pool); known != from_centres_.end())
     for (const auto& [data_centre, one] : known->second)
       if (is_recent(one, now))
-        heard.push_back(one.report);
-  return heard;
+        reports.push_back(one.report);
+  return reports;
 }
 
-// A team that began to ask here since the last report is not in the answer: at a round of seconds
-// it would wait that long for a part of the pool.
+// Adds the teams whose requests began here after the last report. They are not in the answer, and
+// with rounds of several seconds they would wait that long for a part of the pool.
 share_report share_relay::sum(const pool_id& pool, time_ms now) const {
   const auto own = own_.find(pool);
   const auto speaking = speakers_.find(pool);
@@ -245,10 +245,10 @@
           sum.teams.push_back(team);
     return sum;
   }
-  std::vector<share_report> heard = heard_elsewhere(pool, now);
-  const std::vector<share_report> near = heard_here(pool, now);
-  heard.insert(heard.end(), near.begin(), near.end());
-  return merge_reports(heard, policy_.most_teams);
+  std::vector<share_report> reports = remote_reports(pool, now);
+  const std::vector<share_report> near = local_reports(pool, now);
+  reports.insert(reports.end(), near.begin(), near.end());
+  return merge_reports(reports, policy_.max_teams);
 }
 
 void share_relay::queue(const incarnation& to, share_report report) {
--- a/tests/claims/small_fleet.hpp
+++ b/tests/claims/small_fleet.hpp
@@ -10,13 +10,13 @@
 
 namespace sedgechute::test {
 
-/// \brief A few hosts of one data centre that exchange everything at once and lose nothing but what
-/// a test takes away.
+/// \brief A simulated fleet of a few hosts in one data centre. Messages are delivered at the next
+/// step and are lost only on links that a test cuts.
 class small_fleet {
  public:
   explicit small_fleet(std::size_t hosts, claims_options options = {}, std::uint32_t shards = 1)
       : options_{options} {
-    options_.shards_without_home = shards;
+    options_.unpinned_shards = shards;
     options_.shards_per_data_centre = shards;
     for (std::size_t i = 0; i < hosts; ++i)
       start(i);
@@ -26,7 +26,7 @@
   void start(std::size_t i) {
     if (hosts_.size() <= i)
       hosts_.resize(i + 1);
-    hosts_[i] = std::make_unique<claim_host>(incarnation{name(i), ++last_number_}, place(),
+    hosts_[i] = std::make_unique<claim_host>(incarnation{name(i), ++last_number_}, data_centre(),
                                              options_, last_number_);
     numbers_[i] = last_number_;
     read_[i] = 0;
@@ -50,7 +50,7 @@
                       std::uint64_t fingerprint = 1, const std::string& team = "t") {
     return at(i).begin(now, {team_id{team}, key, fingerprint, idempotent, false});
   }
-  /// \returns the decision on a new request, given enough time
+  /// \returns the decision on a new request, after running for long enough
   claim_decision ask(std::size_t i, const std::string& key, bool idempotent = false,
                      std::uint64_t fingerprint = 1, const std::string& team = "t") {
     const std::uint64_t ticket = begin(i, key, idempotent, fingerprint, team);
@@ -64,12 +64,12 @@
     return decisions_.contains({numbers_.at(i), ticket});
   }
 
-  /// \returns the place of the holder (or witness) of the shard that decides for `key`
+  /// \returns the index of the holder (or witness) of the shard of `key`
   [[nodiscard]] std::size_t holder_of(const std::string& key) {
-    return place_of(status_of(key).holder);
+    return index_of(status_of(key).holder);
   }
   [[nodiscard]] std::size_t witness_of(const std::string& key) {
-    return place_of(status_of(key).witness);
+    return index_of(status_of(key).witness);
   }
   [[nodiscard]] shard_status status_of(const std::string& key) {
     shard_map map{options_};
@@ -78,7 +78,7 @@
     return *map.find(shard_of({team_id{"t"}, key}, options_));
   }
   /// \returns a host that is neither holder nor witness for `key`
-  [[nodiscard]] std::size_t bystander_of(const std::string& key) {
+  [[nodiscard]] std::size_t uninvolved_host_of(const std::string& key) {
     std::size_t i = 0;
     while (i == holder_of(key) || i == witness_of(key))
       ++i;
@@ -87,12 +87,12 @@
 
   time_ms now{1000000};
   bool log_down{false};
-  std::set<std::size_t> paused;                      ///< hosts that do nothing
-  std::set<std::pair<std::size_t, std::size_t>> cut; ///< links that lose everything
+  std::set<std::size_t> paused; ///< hosts that neither run nor receive messages
+  std::set<std::pair<std::size_t, std::size_t>> cut; ///< links that lose all messages
   std::vector<claims_record> log;
 
   static host_id name(std::size_t i) { return host_id{"h" + std::to_string(i)}; }
-  static data_centre_id place() { return data_centre_id{"a"}; }
+  static data_centre_id data_centre() { return data_centre_id{"a"}; }
 
  private:
   struct in_flight {
@@ -101,7 +101,7 @@
     claims_message message;
   };
 
-  [[nodiscard]] std::size_t place_of(const incarnation& host) const {
+  [[nodiscard]] std::size_t index_of(const incarnation& host) const {
     for (const auto& [i, number] : numbers_)
       if (number == host.number)
         return i;
@@ -118,16 +118,16 @@
     std::vector<in_flight> arriving;
     arriving.swap(network_);
     for (const in_flight& sent : arriving) {
-      const std::size_t to = place_of(sent.to);
+      const std::size_t to = index_of(sent.to);
       if (to < hosts_.size() && paused.contains(to))
         network_.push_back(sent);
-      else if (is_up(to) && !is_cut(place_of(sent.from), to))
+      else if (is_up(to) && !is_cut(index_of(sent.from), to))
         hosts_[to]->on_message(now, sent.from, sent.message);
     }
     for (std::size_t i = 0; i < hosts_.size(); ++i)
       if (is_up(i))
         step_host(i);
-    // Hosts that propose at the same instant don't know of one another's records.
+    // Records become visible after the step, so concurrent proposals don't see each other.
     log.insert(log.end(), appended_.begin(), appended_.end());
     appended_.clear();
   }
@@ -136,7 +136,7 @@
     std::vector<live_host> view;
     for (std::size_t other = 0; other < hosts_.size(); ++other)
       if (is_up(other) && !is_cut(i, other))
-        view.push_back({who(other), place(), leaving_.contains(other)});
+        view.push_back({who(other), data_centre(), leaving_.contains(other)});
     hosts_[i]->on_members(now, view);
     while (!log_down && read_[i] < log.size()) {
       const claims_record record = log[read_[i]];
--- a/tests/claims/stateful_test.cpp
+++ b/tests/claims/stateful_test.cpp
@@ -1,4 +1,4 @@
-#include "claims_world.hpp"
+#include "claims_simulation.hpp"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -9,13 +9,12 @@
 
 namespace {
 
-/// \brief The oracle lives in the world, which compares every decision with it; the model only
-/// counts.
+/// \brief Only counts actions: the simulation itself compares every decision with its oracle.
 struct schedule_model {
   std::size_t actions{0};
 };
 
-class schedule_action : public rc::state::Command<schedule_model, claims_world> {
+class schedule_action : public rc::state::Command<schedule_model, claims_simulation> {
  public:
   schedule_action() {
     using enum action_kind;
@@ -36,7 +35,7 @@
   }
 
   void apply(schedule_model& model) const override { ++model.actions; }
-  void run(const schedule_model&, claims_world& world) const override {
+  void run(const schedule_model&, claims_simulation& world) const override {
     world.apply(step_);
     RC_ASSERT(world.found().clean());
   }
@@ -49,7 +48,7 @@
 };
 
 void check_schedule(std::uint64_t seed, mutation fault) {
-  claims_world world{seed, fault};
+  claims_simulation world{seed, fault};
   rc::state::check(schedule_model{}, world, rc::state::gen::execOneOfWithArgs<schedule_action>());
   world.settle();
   RC_ASSERT(world.found().clean());
@@ -57,11 +56,11 @@
 
 } // namespace
 
-TEST_CASE("generated schedules agree with the naive oracle after every step") {
+TEST_CASE("generated schedules agree with the oracle after every step") {
   CHECK(rc::check([](std::uint64_t seed) { check_schedule(seed, mutation::none); }));
 }
 
-TEST_CASE("a fault of the protocol is found and shrunk to a short schedule") {
+TEST_CASE("a deliberate protocol fault is found and shrunk to a short schedule") {
   const auto result = rc::detail::checkTestable(
       [](std::uint64_t seed) { check_schedule(seed, mutation::skip_witness); });
   CHECK(result.is<rc::detail::FailureResult>());
--- a/tests/prepaid/log_model.hpp
+++ b/tests/prepaid/log_model.hpp
@@ -9,8 +9,7 @@
 
 namespace sedgechute {
 
-/// \brief The log as the hosts' records go into it: appends on a condition, answers that are lost,
-/// appends that are carried out late.
+/// \brief Model of the log: conditional appends, lost answers, and appends that are applied late.
 struct log_model {
   struct late_append {
     std::uint64_t at{};
@@ -18,10 +17,10 @@
   };
 
   std::vector<account_record> records;
-  std::vector<late_append> in_the_air; ///< not answered; may yet be carried out
-  bool ignores_condition{false};       ///< a fault that a test puts in
-  std::set<std::uint64_t> unreadable;  ///< offsets of records that another program wrote
-  bool overwritten_frees{false};       ///< a fault: a new life takes no notice of such records
+  std::vector<late_append> unacknowledged; ///< not answered; may still be applied
+  bool ignores_condition{false};           ///< a fault that a test injects
+  std::set<std::uint64_t> unreadable;      ///< offsets of records that another program wrote
+  bool overwritten_frees{false};           ///< a fault: a new incarnation ignores such records
 
   [[nodiscard]] std::uint64_t end() const { return records.size(); }
 
@@ -32,50 +31,51 @@
     return true;
   }
 
-  void carry_out(std::size_t index) {
-    const late_append chosen = in_the_air[index];
-    in_the_air.erase(in_the_air.begin() + static_cast<std::ptrdiff_t>(index));
+  void apply_late(std::size_t index) {
+    const late_append chosen = unacknowledged[index];
+    unacknowledged.erase(unacknowledged.begin() + static_cast<std::ptrdiff_t>(index));
     (void)append_at(chosen.at, chosen.records);
   }
 
-  /// \brief Another program writes over a host's account.
+  /// \brief Another program overwrites a host's account.
   void overwrite(const std::string& team, const std::string& host) {
     unreadable.insert(end());
     records.push_back({team, host, {}});
   }
 
-  void read_into(prepaid_book& book, time_ms now) const {
-    for (std::uint64_t i = book.end(); i < records.size(); ++i)
-      read_one(book, i, now);
-    book.advance(end()); // also where a look finds nothing new
+  void read_into(partition_budgets& budgets, time_ms now) const {
+    for (std::uint64_t i = budgets.end(); i < records.size(); ++i)
+      read_one(budgets, i, now);
+    budgets.advance(end()); // also if nothing new was read
   }
 
-  /// \brief What a host reads that has just started: the newest record of each host.
-  void read_newest_into(prepaid_book& book, time_ms now) const {
+  /// \brief Reads like a host that has just started: the newest record of each host.
+  void read_newest_into(partition_budgets& budgets, time_ms now) const {
     std::map<std::string, std::uint64_t> newest;
     for (std::uint64_t i = 0; i < records.size(); ++i)
       newest[account_key(records[i].team, records[i].host)] = i;
     for (const auto& [key, at] : newest)
-      read_one(book, at, now);
-    book.advance(end());
+      read_one(budgets, at, now);
+    budgets.advance(end());
   }
 
-  /// \brief What a host does that has just started and finds accounts that it cannot read: it
-  /// looks for the last readable ones in the records from `first` on.
-  void read_newest_and_history_into(prepaid_book& book, std::uint64_t first, time_ms now) const {
+  /// \brief Reads like a host that has just started and finds unreadable accounts: it searches the
+  /// records from `first` on for the last readable ones.
+  void read_newest_and_history_into(partition_budgets& budgets, std::uint64_t first,
+                                    time_ms now) const {
     for (std::uint64_t i = first; i < records.size(); ++i)
       if (!unreadable.contains(i))
-        book.apply(records[i], 0, now);
-    read_newest_into(book, now);
+        budgets.apply(records[i], 0, now);
+    read_newest_into(budgets, now);
   }
 
  private:
-  void read_one(prepaid_book& book, std::uint64_t at, time_ms now) const {
+  void read_one(partition_budgets& budgets, std::uint64_t at, time_ms now) const {
     if (!unreadable.contains(at))
-      return book.apply(records[at], at + 1, now);
+      return budgets.apply(records[at], at + 1, now);
     if (!overwritten_frees)
-      book.note_unreadable(records[at].team, records[at].host, now);
-    book.advance(at + 1);
+      budgets.note_unreadable(records[at].team, records[at].host, now);
+    budgets.advance(at + 1);
   }
 };
 
--- a/tests/relay/caller_poll_test.cpp
+++ b/tests/relay/caller_poll_test.cpp
@@ -27,9 +27,9 @@
 
 } // namespace
 
-// A thread for each connection made a host of 88 MB carry hundreds of them, and the memory of their
-// stacks, for callers that had nothing to ask.
-TEST_CASE("connections on which nothing is asked take no thread") {
+// With one thread per connection a host of 88 MB of memory held the stacks of hundreds of threads
+// for idle callers.
+TEST_CASE("idle connections use no thread") {
   scripted_endpoint endpoint{answer_at_once};
   relay_fixture at;
   at.add_endpoint("e1", endpoint.address());
@@ -40,15 +40,15 @@
     callers.back().send(request_text("/unsafe/", "id-" + std::to_string(i), "", "POST"));
     CHECK(status_of(callers.back().read_all(time_ms{0}, time_ms{3000})) == 200);
   }
-  CHECK(at.door().connections() == 150);
+  CHECK(at.frontend().connections() == 150);
   CHECK(threads() <= before + 20);
-  for (raw_caller& one : callers) { // each of them still serves
+  for (raw_caller& one : callers) { // each connection still works
     one.send(request_text("/unsafe/", "again", "", "POST"));
     CHECK(status_of(one.read_all(time_ms{0}, time_ms{3000})) == 200);
   }
 }
 
-TEST_CASE("a request that comes in pieces, and two at once, are served") {
+TEST_CASE("a request in several pieces and two pipelined requests are served") {
   scripted_endpoint endpoint{answer_at_once};
   relay_fixture at;
   at.add_endpoint("e1", endpoint.address());
@@ -65,11 +65,11 @@
   CHECK(both.find("Attempt-Id: id-3") != std::string::npos);
 }
 
-// Requests pile up before they are sent, here since the endpoint takes no connection. What comes
-// beyond the limit is refused by its header: at once, truthfully, and with its connection kept.
-TEST_CASE("a host with as many requests in preparation as it may have refuses more at once") {
+// Requests accumulate before they are sent, here because the endpoint accepts no connection. Those
+// beyond the limit are refused at once by their header, and their connection is kept.
+TEST_CASE("a host at its limit of requests in preparation refuses more at once") {
   silent_address silent;
-  relay_fixture at{1000000, {.connect_timeout = time_ms{3000}, .most_preparing = 2}};
+  relay_fixture at{1000000, {.connect_timeout = time_ms{3000}, .max_preparing = 2}};
   at.add_endpoint("e1", silent.address());
   std::list<raw_caller> first;
   for (int i = 0; i < 2; ++i) {
@@ -93,8 +93,8 @@
   CHECK(at.relay().open() == 2);
 }
 
-// The rest of a request that never comes must not keep a busy host from closing the connection.
-TEST_CASE("a request of which the rest does not come ends in the time for headers") {
+// A caller sends part of a request and stops. A busy host must still close the connection.
+TEST_CASE("an incomplete request is refused at the header timeout") {
   relay_fixture at;
   at.set_busy(true);
   raw_caller caller{at.address()};
--- a/tests/relay/choose_replica_test.cpp
+++ b/tests/relay/choose_replica_test.cpp
@@ -20,8 +20,8 @@
   CHECK_FALSE(choose_replica({}, 100, weights));
 }
 
-// A chat comes while one engine reads a document of 50,000 tokens that another host sent. It must
-// not wait behind it for most of a second.
+// A chat request arrives while one engine prefills a document of 50,000 tokens from another host.
+// It must not wait for most of a second behind it.
 TEST_CASE("a short prompt does not queue behind a long one of another host") {
   std::vector<replica_candidate> engines(2);
   engines[0].slots = engines[1].slots = 64;
@@ -30,9 +30,9 @@
   CHECK(choose(engines, 600) == 1);
 }
 
-// The engine that keeps a wearer's history has three more answers running than the next one.
-// Reading 5,000 tokens again would cost far more than that.
-TEST_CASE("a prompt goes where its start is kept") {
+// The engine that has cached a user's history runs three more answers than the other one. Reading
+// 5,000 tokens again costs far more than that.
+TEST_CASE("a prompt goes to the endpoint that has cached its prefix") {
   std::vector<replica_candidate> engines(2);
   engines[0].slots = engines[1].slots = 64;
   engines[0].open_here = 3;
@@ -40,9 +40,9 @@
   CHECK(choose(engines, 6500) == 0);
 }
 
-// One subject is asked for by a third of all callers. Its engine is busy for seconds; another
-// fetches the start from it and answers sooner.
-TEST_CASE("a prompt leaves a crowded engine for one that can fetch its start") {
+// A third of all callers share one prefix. Its engine is busy for seconds; another one that fetches
+// the prefix from it answers sooner.
+TEST_CASE("a prompt leaves a busy engine for one that can fetch its prefix") {
   std::vector<replica_candidate> engines(2);
   engines[0].slots = engines[1].slots = 64;
   engines[0].unread_tokens_here = 30000;
@@ -51,7 +51,7 @@
   CHECK(choose(engines, 6500) == 1);
 }
 
-TEST_CASE("an endpoint that fails its requests is left alone while another can serve") {
+TEST_CASE("an endpoint that fails its requests is avoided while another can serve") {
   std::vector<replica_candidate> endpoints(2);
   endpoints[0].slots = endpoints[1].slots = 6;
   endpoints[0].failing = 0.5;
@@ -59,12 +59,12 @@
   CHECK(choose(endpoints, 0) == 1);
 }
 
-TEST_CASE("what an endpoint said long ago does not count") {
+TEST_CASE("an old load report is ignored") {
   replica_candidate endpoint;
   endpoint.open_here = 1;
   endpoint.load = load_report{20, 5, 6};
   endpoint.load_age = time_ms{100};
   CHECK(expected_open(endpoint, weights) == 25);
-  endpoint.load_age = weights.load_stays + time_ms{1};
+  endpoint.load_age = weights.max_load_age + time_ms{1};
   CHECK(expected_open(endpoint, weights) == 1);
 }
--- a/tests/relay/endpoint_directory_test.cpp
+++ b/tests/relay/endpoint_directory_test.cpp
@@ -48,7 +48,7 @@
   CHECK(chosen.size() == 6);
 }
 
-TEST_CASE("endpoints that leave get nothing new") {
+TEST_CASE("draining and leaving endpoints get no new requests") {
   fixture at;
   for (int i = 1; i < 6; ++i) {
     endpoint_entry leaving = fixture::entry(i);
@@ -63,9 +63,9 @@
   CHECK(at.directory.ready("engines") == 0);
 }
 
-// Two hosts that never spoke send prompts of one subject: both choose the same endpoint, where the
-// second finds the start read.
-TEST_CASE("hosts agree on the home of a subject") {
+// Two hosts that have not communicated send prompts with one prefix. Both must choose the same
+// endpoint, where the second prompt finds the prefix cached.
+TEST_CASE("hosts agree on the home endpoint of a prefix") {
   fixture one;
   fixture other;
   for (int i = 0; i < 20; ++i) {
@@ -80,9 +80,9 @@
   }
 }
 
-// The home of a subject crowds. The next prompt goes elsewhere and fetches the start from an
-// endpoint to which it was sent, be it by another host.
-TEST_CASE("a prompt that leaves its home fetches the start from where it was read") {
+// The home endpoint of a prefix is busy. The next prompt goes elsewhere and fetches the prefix from
+// an endpoint that has it.
+TEST_CASE("a prompt that leaves its home endpoint fetches the prefix from there") {
   fixture at;
   const generation_terms terms = subject("s");
   const auto home = at.place(&terms);
@@ -110,7 +110,7 @@
   CHECK(at.place().has_value());
 }
 
-TEST_CASE("other hosts are told of what changed, and of all when asked") {
+TEST_CASE("own use of endpoints is reported as changes or in full") {
   fixture at;
   const auto place = at.place();
   REQUIRE(place.has_value());
--- a/tests/relay/repeat_bound_test.cpp
+++ b/tests/relay/retry_limit_test.cpp
@@ -1,21 +1,19 @@
-// How often requests are sent once more, by a whole host: what it asks its allowance, and when.
-
 #include "relay_fixture.hpp"
 
 #include <doctest/doctest.h>
 
 using namespace sedgechute;
 
-// Every endpoint breaks off, and each of many requests would go out once more. The host may repeat
-// half as many as it gets, and one; a repeat is not itself a request that allows others.
-TEST_CASE("a host repeats no more requests than its allowance has") {
+// Every endpoint breaks off, so each of many requests would be sent again. The host may retry half
+// as many requests as it gets, plus one; a retry must not count as a request that allows others.
+TEST_CASE("a host sends no more retries than its limit allows") {
   const auto breaks_off = [](const auto&) {
     return scripted_reply{"", scripted_reply::then::reset, ""};
   };
   scripted_endpoint first{breaks_off};
   scripted_endpoint second{breaks_off};
   relay_options options;
-  options.retries = {.ratio = 0.5, .slack = 1, .window = time_ms{60000}, .used_part = 1.0};
+  options.retries = {.ratio = 0.5, .slack = 1, .window = time_ms{60000}, .used_fraction = 1.0};
   relay_fixture at{1000000, options};
   at.add_endpoint("e1", first.address());
   at.add_endpoint("e2", second.address());
--- a/tests/relay/stopping_host_test.cpp
+++ b/tests/relay/stopping_host_test.cpp
@@ -1,4 +1,4 @@
-// What callers and endpoints see of a host that is told to stop.
+// Behaviour of a stopping host towards callers and endpoints.
 
 #include "relay_fixture.hpp"
 
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a stopping host ends each connection behind its answer") {
+TEST_CASE("a stopping host closes each connection after its answer") {
   scripted_endpoint endpoint{answers("x")};
   relay_fixture at;
   at.add_endpoint("e1", endpoint.address());
@@ -28,9 +28,9 @@
   CHECK(caller.last() == io_status::ended);
 }
 
-// The header of a stream had gone before its host was told to stop, and did not say that the
-// connection ends. Its caller's next request came to the stopping host again and was refused.
-TEST_CASE("a stream that was begun before the stop ends its connection too") {
+// The header of a stream was sent before the stop and so without `Connection: close`. The caller's
+// next request arrived at the stopping host again and was refused.
+TEST_CASE("the connection of a stream begun before the stop is closed too") {
   scripted_endpoint endpoint{[](const auto& request) {
     return scripted_reply{stream_head(attempt_of(request)) + event_chunk(1), then::keep,
                           "0\r\n\r\n", time_ms{200}};
@@ -49,7 +49,7 @@
   CHECK(endpoint.seen().size() == 1);
 }
 
-TEST_CASE("an idle connection ends as soon as a stopping host closes those") {
+TEST_CASE("close_idle of a stopping host closes an idle connection at once") {
   scripted_endpoint endpoint{answers("x")};
   relay_fixture at;
   at.add_endpoint("e1", endpoint.address());
@@ -62,8 +62,8 @@
   CHECK(caller.last() == io_status::ended);
 }
 
-// The grace of a stop is over while requests run. Their callers must see that what they have is not
-// whole, and must not be told that a request did not run which may have.
+// The cut comes while requests run. Their callers must notice that a stream is incomplete, and a
+// request that may have run must not be reported as not run.
 TEST_CASE("a stream that is cut at the end of a stop does not look complete") {
   scripted_endpoint endpoint{replies(stream_head("id-1") + event_chunk(1), then::hang)};
   relay_fixture at;
@@ -79,7 +79,7 @@
   CHECK(at.has_open(0));
 }
 
-TEST_CASE("a request without an answer at the end of a stop is not called unrun") {
+TEST_CASE("a request without an answer at the end of a stop is not reported as not run") {
   scripted_endpoint endpoint{replies("", then::hang)};
   relay_fixture at;
   at.add_endpoint("e1", endpoint.address());
@@ -93,8 +93,8 @@
   CHECK(at.has_open(0));
 }
 
-// A caller does not read its answer, and the write waits for it. The end of the stop must not.
-TEST_CASE("a caller that does not read holds no stop up") {
+// A caller does not read its answer, so the write blocks. The stop must not wait for it.
+TEST_CASE("a caller that does not read does not delay a stop") {
   const std::string large(std::size_t{6} << 20U, 'x');
   scripted_endpoint endpoint{answers(large)};
   relay_fixture at;
@@ -103,17 +103,17 @@
   caller.send(request_text("/safe/", "id-1"));
   for (int i = 0; i < 100 && endpoint.seen().empty(); ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds{20});
-  std::this_thread::sleep_for(std::chrono::milliseconds{200}); // until the write waits
+  std::this_thread::sleep_for(std::chrono::milliseconds{200}); // until the write blocks
   REQUIRE(at.has_open(1));
   at.relay().stop().begin();
   at.relay().stop().cut();
-  constexpr int looks = 50; // of 20 ms: a connection that is not read fails by itself after 2 s
-  for (int i = 0; i < looks && at.relay().open() > 0; ++i)
+  constexpr int polls = 50; // of 20 ms each: the connection itself fails only after 2 s
+  for (int i = 0; i < polls && at.relay().open() > 0; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds{20});
   CHECK(at.relay().open() == 0);
 }
 
-TEST_CASE("after the last moment of a stop everything is refused unrun") {
+TEST_CASE("after end_taking every request is refused without being sent") {
   scripted_endpoint endpoint{answers("x")};
   relay_fixture at;
   at.add_endpoint("e1", endpoint.address());
