--- a/src/claims/impl/claims_message.hpp
+++ b/src/claims/impl/claims_message.hpp
@@ -117,7 +117,7 @@
   std::uint64_t until{}; ///< for a table of an earlier epoch: it has no claims from this epoch on
   std::uint64_t transfer{}; ///< the sender's number of this transfer
   std::uint32_t part{};     ///< index from 0
-  std::uint32_t parts{};    ///< number of parts
+  std::uint32_t parts{};
   std::vector<claim> claims;
 
   bool operator==(const table_part&) const = default;
--- a/src/membership/impl/membership.hpp
+++ b/src/membership/impl/membership.hpp
@@ -11,7 +11,7 @@
 /// full exchanges of member tables.
 ///
 /// Not thread-safe: the owner must lock around every call. A wrong suspicion costs other components
-/// a new grant but never affects correctness, so detection is tuned for speed.
+/// a new grant but never affects correctness, so detection favours speed.
 class membership {
  public:
   /// \param address  this process's peer address, `IP:port`
